--- a/crates/front/src/limits/diary.rs
+++ b/crates/front/src/limits/diary.rs
@@ -9,7 +9,7 @@
 use crate::mesh::state::MeshState;
 use crate::node::FrontNode;
 use oleander_kind::{AccountName, TimeSpan};
-use oleander_limit::{GateStand, WindowStand};
+use oleander_limit::{GateStatus, WindowStatus};
 use oleander_mesh::MeshCollector;
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -67,23 +67,23 @@
     let Some(rules) = node.current_rules() else { return };
     let limits = node.limits.borrow();
     let mut diary = node.spend_diary.borrow_mut();
-    for (account, stand) in limits.stands(now) {
+    for (account, stand) in limits.statuses(now) {
         let Some(limit) = limit_by_name(node, &rules, account) else { continue };
         let Some(news) = diary.news_of(account, (stand.spent, stand.own_spent)) else { continue };
-        let presses = stand.window as f64 * 2.0 > limit.capacity();
-        if !presses && news.own == 0 {
+        let is_near_limit = stand.window as f64 * 2.0 > limit.capacity();
+        if !is_near_limit && news.own == 0 {
             continue;
         }
         event!(node, AccountSpent;
             "account" => account.as_str(), "tokens" => news.spent, "sent_again" => news.sent_again,
-            "own" => news.own, "held" => stand.held, "told_ms" => stand.told_age.map(|age| age.0));
+            "own" => news.own, "held" => stand.held, "told_ms" => stand.answer_age.map(|age| age.0));
     }
 }
 
 fn tell_windows(node: &FrontNode) {
     let mesh = node.mesh.borrow();
     let Some(collector) = &mesh.collector else { return };
-    for (account, stand) in collector.windows().filter(|(_, stand)| stand.presses()) {
+    for (account, stand) in collector.windows().filter(|(_, stand)| stand.is_near_limit()) {
         event!(node, AccountWindow;
             "account" => account.as_str(), "spent" => stand.spent, "open" => stand.open,
             "capacity" => stand.capacity, "holders" => stand.holders);
@@ -94,16 +94,16 @@
 pub(crate) fn dump_limits(node: &FrontNode, mesh: &MeshState) -> Value {
     let now = node.clock.lease_now();
     let limits = node.limits.borrow();
-    let held = |(account, stand): (&AccountName, GateStand)| {
+    let held = |(account, stand): (&AccountName, GateStatus)| {
         json!({
             "account": account.as_str(),
             "held": stand.held,
             "spent": stand.spent,
             "own_spent": stand.own_spent,
-            "told_ms": stand.told_age.map(|age| age.0),
+            "told_ms": stand.answer_age.map(|age| age.0),
         })
     };
-    let counted = |(account, stand): (&AccountName, WindowStand)| {
+    let counted = |(account, stand): (&AccountName, WindowStatus)| {
         json!({
             "account": account.as_str(),
             "spent": stand.spent,
@@ -114,7 +114,7 @@
     };
     let windows = mesh.collector.iter().flat_map(MeshCollector::windows);
     json!({
-        "held": limits.stands(now).map(held).collect::<Vec<_>>(),
+        "held": limits.statuses(now).map(held).collect::<Vec<_>>(),
         "counted": windows.map(counted).collect::<Vec<_>>(),
     })
 }
--- a/crates/front/src/limits/keeper.rs
+++ b/crates/front/src/limits/keeper.rs
@@ -4,7 +4,7 @@
 use crate::mesh::state::MeshState;
 use crate::node::FrontNode;
 use oleander_kind::ResultCode;
-use oleander_limit::{LedgerPast, PoolLedger, TOLD_LASTS};
+use oleander_limit::{PROMISE_LIFETIME, PoolLedger, PriorLedger};
 use oleander_mesh::{HandedLedger, HandedWindow, MeshCollector};
 
 /// Begins the ledger of a process that begins to collect, if it was told lately how the windows stand; if not, the store
@@ -14,8 +14,8 @@
         return;
     }
     let windows = node.limits.borrow().known_windows(node.clock.lease_now());
-    if windows.iter().any(|(_, known)| known.age <= TOLD_LASTS) {
-        let past = LedgerPast::Told { windows, lasts: TOLD_LASTS };
+    if windows.iter().any(|(_, known)| known.age <= PROMISE_LIFETIME) {
+        let past = PriorLedger::Reported { windows, lasts: PROMISE_LIFETIME };
         begin_ledger_by(node, mesh, past, "told");
     } else {
         node.ledger_waits.notify_one();
@@ -26,7 +26,7 @@
 pub(crate) fn begin_ledger_by(
     node: &FrontNode,
     mesh: &mut MeshState,
-    past: LedgerPast,
+    past: PriorLedger,
     by: &'static str,
 ) {
     let now = node.clock.now();
@@ -36,7 +36,7 @@
     event!(node, LedgerBegan; "by" => by, "windows" => windows.len(), "age_ms" => age);
     // Each ledger has a name of its own, also a second one of the same process. One that handed out nothing and is begun
     // anew is the same: processes that it answered go by it already.
-    let same = collector.ledger().filter(|ledger| ledger.is_untouched());
+    let same = collector.ledger().filter(|ledger| ledger.is_unused());
     let source = same.map_or_else(|| node.random(), PoolLedger::source);
     collector.begin_ledger(PoolLedger::begin(source, past, now));
 }
@@ -50,12 +50,12 @@
     let now = node.clock.now();
     let ledger = mesh.collector.as_ref().and_then(MeshCollector::ledger);
     let stays =
-        |ledger: &PoolLedger| !ledger.is_untouched() && ledger.member_count(now) >= handed.members;
+        |ledger: &PoolLedger| !ledger.is_unused() && ledger.member_count(now) >= handed.members;
     if ledger.is_some_and(stays) {
         return;
     }
     let windows = handed.windows.iter().map(|told| (told.account.clone(), told.window.clone()));
-    begin_ledger_by(node, mesh, LedgerPast::Handed(windows.collect()), "handed");
+    begin_ledger_by(node, mesh, PriorLedger::HandedOver(windows.collect()), "handed");
 }
 
 /// Ends the ledger of a process that goes over to another collector; gives what that has to know, until it is known
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -5,7 +5,7 @@
 use crate::node::FrontNode;
 use crate::{releases, words};
 use oleander_kind::{AccountName, ClockTime, ServiceName, TimeSpan};
-use oleander_limit::HoldClaim;
+use oleander_limit::AllotmentClaim;
 use oleander_mesh::{
     AccountClaim, EndpointLoad, EndpointMark, HandedLedger, NodeReport, NodeUsage, ServiceDemand,
     ServicePace, UsageCount, words_mark,
@@ -83,7 +83,7 @@
     }
 }
 
-fn claim_of((account, claim): (AccountName, HoldClaim)) -> AccountClaim {
+fn claim_of((account, claim): (AccountName, AllotmentClaim)) -> AccountClaim {
     AccountClaim { account, claim }
 }
 
--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -11,7 +11,7 @@
 use actix::Addr;
 use compact_str::CompactString;
 use oleander_kind::{ClockTime, TimeSpan};
-use oleander_limit::ANSWER_TIME;
+use oleander_limit::ANSWER_TIMEOUT;
 use oleander_list::RosterUpdate;
 use oleander_mesh::{MemberCard, MemberList, MeshBody, MeshCollector, NodeReport};
 use oleander_wire::{CallPeer, ForgetPeer, PeerHub};
@@ -21,7 +21,7 @@
 const REPORT_PERIOD: TimeSpan = TimeSpan(250);
 /// How long a collector may take to answer. Longer than a pause for a slow machine's turn, shorter
 /// than two periods, so that the next one is asked before allotments end.
-const ANSWER_LIMIT: TimeSpan = ANSWER_TIME;
+const ANSWER_LIMIT: TimeSpan = ANSWER_TIMEOUT;
 /// A process that wakes this much too late is slow itself or stood still: what seemed slow to it may have
 /// waited in its own sockets, and it does not speak against endpoints. Half of the shortest objective.
 const LATE_WAKING: TimeSpan = TimeSpan(50);
--- a/crates/front/src/releases.rs
+++ b/crates/front/src/releases.rs
@@ -140,7 +140,7 @@
 /// The requests of versions under orders that this process should hold.
 pub(crate) fn hold_tried(node: &FrontNode) {
     let accounts = node.releases.borrow().book.paid_accounts();
-    node.limits.borrow_mut().hold_least(&accounts, TRIED_HELD);
+    node.limits.borrow_mut().set_min_held(&accounts, TRIED_HELD);
 }
 
 /// The route that evidence of an endpoint is told by; none if no order is under way for its service.
--- a/crates/front/src/window_store.rs
+++ b/crates/front/src/window_store.rs
@@ -12,7 +12,7 @@
 use crate::node::FrontNode;
 use bytes::Bytes;
 use oleander_kind::{AccountName, ClockTime, TimeSpan};
-use oleander_limit::{KnownWindow, LedgerPast, STORED_LASTS, ToldWindow};
+use oleander_limit::{KnownWindow, PriorLedger, ReportedWindow, STORED_LIFETIME};
 use oleander_mesh::MeshCollector;
 use oleander_plat::{FeedKind, FeedObject};
 use serde::{Deserialize, Serialize};
@@ -38,7 +38,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct ListedWindow {
     account: AccountName,
-    window: ToldWindow,
+    window: ReportedWindow,
 }
 
 /// Keeps the windows in the store while this process has the ledger, and begins a ledger by them.
@@ -86,7 +86,7 @@
         let now = node.clock.now();
         let mesh = node.mesh.borrow();
         let ledger = mesh.collector.as_ref().and_then(MeshCollector::ledger)?;
-        let (windows, promises) = ledger.to_store(now);
+        let (windows, promises) = ledger.export_windows(now);
         let at = if ledger.is_idle() { ClockTime(0) } else { node.clock_true(&mesh) };
         let listed = |(account, window)| ListedWindow { account, window };
         let accounts = windows.into_iter().map(listed).collect();
@@ -107,7 +107,7 @@
         self.unread += 1;
         let mut mesh = node.mesh.borrow_mut();
         if waits_for_ledger(node, &mesh) && self.unread >= MOST_UNREAD {
-            let past = LedgerPast::Told { windows: Vec::new(), lasts: STORED_LASTS };
+            let past = PriorLedger::Reported { windows: Vec::new(), lasts: STORED_LIFETIME };
             begin_ledger_by(node, &mut mesh, past, "unread");
         }
     }
@@ -128,12 +128,12 @@
     })
 }
 
-fn past_of(list: Option<&WindowList>, true_now: ClockTime) -> (LedgerPast, &'static str) {
-    let Some(list) = list else { return (LedgerPast::Nothing, "nothing") };
+fn past_of(list: Option<&WindowList>, true_now: ClockTime) -> (PriorLedger, &'static str) {
+    let Some(list) = list else { return (PriorLedger::Absent, "nothing") };
     let known = |listed: &ListedWindow| {
-        let (told, age) = (listed.window.clone(), true_now - list.at);
-        (listed.account.clone(), KnownWindow { told, age, source: list.source })
+        let (reported, age) = (listed.window.clone(), true_now - list.at);
+        (listed.account.clone(), KnownWindow { reported, age, source: list.source })
     };
     let windows = list.accounts.iter().map(known).collect();
-    (LedgerPast::Told { windows, lasts: STORED_LASTS }, "store")
+    (PriorLedger::Reported { windows, lasts: STORED_LIFETIME }, "store")
 }
--- a/crates/front/src/words.rs
+++ b/crates/front/src/words.rs
@@ -13,7 +13,7 @@
 use crate::suspects;
 use oleander_call::{AnswerMark, SaidWord};
 use oleander_kind::{ClockTime, RequestRate, ResultCode};
-use oleander_limit::own_part;
+use oleander_limit::own_share;
 use oleander_place::{EndpointFact, EndpointKey, LimitWord};
 use oleander_suspect::EndedLife;
 
@@ -109,7 +109,7 @@
 /// Takes a limit, or that there is none.
 fn hear_limit(node: &FrontNode, key: EndpointKey, (word, source): (LimitWord, WordSource)) {
     let now = node.clock.lease_now();
-    let own = word.rate.and_then(|rate| own_part(rate, node.process_count()));
+    let own = word.rate.and_then(|rate| own_share(rate, node.process_count()));
     let mut board = node.endpoints.borrow_mut();
     let Some(before) = board.note_limit(key, word) else { return };
     if let Some(fact) = board.get_mut(key) {
--- a/crates/front/src/words/rates.rs
+++ b/crates/front/src/words/rates.rs
@@ -3,8 +3,8 @@
 use super::known_words;
 use crate::node::FrontNode;
 use oleander_kind::{ClockTime, InstanceId, RequestRate};
-use oleander_limit::pool::ALLOT_TIME;
-use oleander_limit::{RateKey, RatedEndpoint, own_part};
+use oleander_limit::pool::ALLOTMENT_LIFETIME;
+use oleander_limit::{LimitedEndpoint, RateKey, own_share};
 use oleander_mesh::{
     EndpointMark, MeshCollector, MeshDigest, MeshView, NodeReport, RateShare, words_mark,
 };
@@ -23,7 +23,7 @@
     if words_mark(&words) != report.words_mark {
         digest.words = Some(words);
     }
-    if !report.is_late && collector.rates().hands_out(node.clock.now()) {
+    if !report.is_late && collector.rates().grants_leases(node.clock.now()) {
         digest.rates = Some(rate_shares(node, (report, view.serving()), collector));
     }
 }
@@ -61,7 +61,7 @@
     desk.keep(|key| keys.contains(&key));
     let part = desk.part(serving, now);
     let share = |(fact, rate): (&EndpointFact, RequestRate)| {
-        let endpoint = RatedEndpoint { key: key_of(fact), service: &fact.entry.service, rate };
+        let endpoint = LimitedEndpoint { key: key_of(fact), service: &fact.entry.service, rate };
         let per_s = desk.lease(&report.id, endpoint, (part, now))?;
         let endpoint = EndpointMark::of(&fact.entry.instance, fact.entry.life);
         Some(RateShare { endpoint, per_s: per_s as f32 })
@@ -86,11 +86,11 @@
 /// whose endpoints all named one would be refused for two seconds after each loss of the collector.
 pub(crate) fn take_own_parts(node: &FrontNode) {
     let now = node.clock.lease_now();
-    if now - node.rates_at.get() < ALLOT_TIME {
+    if now - node.rates_at.get() < ALLOTMENT_LIFETIME {
         return;
     }
     let processes = node.process_count();
-    renew_parts(node, |fact| own_part(fact.said.limit.rate?, processes), now);
+    renew_parts(node, |fact| own_share(fact.said.limit.rate?, processes), now);
 }
 
 fn renew_parts(node: &FrontNode, part: impl Fn(&EndpointFact) -> Option<f64>, asked_at: ClockTime) {
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -1,9 +1,10 @@
-//! Limits over all processes, per client account and per endpoint, without a store call per request.
+//! Distributed limits per client account and per endpoint, without a store call per request.
 //!
-//! [`pool`] serves the front processes: a ledger hands out allotments, and nobody lets in more than it was handed.
-//! [`rate`] keeps what endpoints in need take from all processes together.
-//! [`owner`] and [`share`] serve the entries of the own interface: one entry, found by rendezvous, owns an account's
-//! limit, and the others get shares that expire.
+//! [`pool`] limits client accounts at the front processes: a ledger in one process grants
+//! allotments of tokens, and no process admits more than it was granted. [`rate`] splits the
+//! request rate that a limited endpoint accepts among all processes. [`owner`] and [`share`] limit
+//! client accounts at the entries of the project's own protocol: one entry, chosen by rendezvous
+//! hashing, owns an account's limit and grants the other entries shares that expire.
 
 pub mod owner;
 pub mod pool;
@@ -12,9 +13,9 @@
 
 pub use owner::{DemandReport, LimitOwner, ShareGrant};
 pub use pool::{
-    ANSWER_TIME, ClaimFault, GateStand, HoldClaim, KnownWindow, LedgerBond, LedgerPast,
-    PoolAllotment, PoolGate, PoolLedger, PoolLimit, PoolSpender, STORED_LASTS, TOLD_LASTS,
-    ToldWindow, WindowStand,
+    ANSWER_TIMEOUT, AllotmentClaim, AllotmentHolder, ClaimFault, GateStatus, KnownWindow,
+    LastLedger, PROMISE_LIFETIME, PoolAllotment, PoolGate, PoolLedger, PoolLimit, PriorLedger,
+    ReportedWindow, STORED_LIFETIME, WindowStatus,
 };
-pub use rate::{RateBucket, RateDesk, RateKey, RatedEndpoint, own_part};
+pub use rate::{LimitedEndpoint, RateAllocator, RateBucket, RateKey, own_share};
 pub use share::{AccountLimits, LimitGate, LimitVerdict};
--- a/crates/limit/src/owner.rs
+++ b/crates/limit/src/owner.rs
@@ -1,39 +1,39 @@
-//! The owner of an account's limits: shares follow demand.
+//! The owner of an account's limit, which grants shares in proportion to demand.
 
 use oleander_kind::{AccountName, ClockTime, InstanceId, TimeSpan};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an entry tells the owner.
+/// An entry's demand for one account, sent to the account's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandReport {
-    /// Requests asked for since the last report.
+    /// Requests received since the last report.
     pub asked: u32,
     /// Requests in flight.
     pub in_flight: u32,
 }
 
-/// What the owner gives an entry.
+/// A share of an account's limits that the owner grants to an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareGrant {
-    /// The share of every limit of the account, in thousandths.
+    /// The share of each of the account's limits, in thousandths.
     pub share_per_mille: u32,
-    /// How long it may be used.
+    /// How long the grant is valid.
     pub lasts: TimeSpan,
 }
 
-/// How long a grant may be used.
-pub const GRANT_LASTS: TimeSpan = TimeSpan(3000);
-/// The part of a limit that is kept for entries without demand, in thousandths.
+/// How long a grant is valid.
+pub const GRANT_LIFETIME: TimeSpan = TimeSpan(3000);
+/// The part of a limit that is reserved for entries without demand, in thousandths.
 const FLOOR_PER_MILLE: u64 = 100;
-/// All of a limit, in thousandths.
+/// A whole limit, in thousandths.
 const WHOLE_PER_MILLE: u64 = 1000;
 
-/// Grants shares of the accounts this entry owns.
+/// Grants shares of the accounts that this entry owns.
 ///
-/// The shares granted at any moment add up to at most the whole and the floors, 110 %. Two owners at once (views differ
-/// for a moment) can each grant the whole, so an account may reach twice its limit for at most
-/// [`GRANT_LASTS`]; that is the stated bound on overshoot.
+/// The shares granted at any moment add up to at most the whole limit plus the floors, 110 %. While
+/// views of the membership differ, two owners can each grant the whole limit, so an account may
+/// reach twice its limit for at most [`GRANT_LIFETIME`]; that is the stated bound on overshoot.
 #[derive(Debug, Default)]
 pub struct LimitOwner {
     accounts: BTreeMap<AccountName, OwnedAccount>,
@@ -53,7 +53,7 @@
 }
 
 impl LimitOwner {
-    /// Takes a report of `entry` and grants it a share. `entries` is how many entries there are.
+    /// Records a report of `entry` and grants it a share. `entries` is the number of entries.
     pub fn report(
         &mut self,
         account: &AccountName,
@@ -63,22 +63,22 @@
     ) -> ShareGrant {
         let fresh = || OwnedAccount { known_since: now, demands: BTreeMap::new() };
         let owned = self.accounts.entry(account.clone()).or_insert_with(fresh);
-        owned.demands.retain(|_, demand| now - demand.at < GRANT_LASTS);
+        owned.demands.retain(|_, demand| now - demand.at < GRANT_LIFETIME);
         if owned.demands.is_empty() {
             owned.known_since = now;
         }
         let weight = u64::from(report.asked) + u64::from(report.in_flight);
         let granted = owned.share_of(entry, weight, (u64::from(entries.max(1)), now));
         owned.demands.insert(entry.clone(), OwnedDemand { weight, granted, at: now });
-        ShareGrant { share_per_mille: granted as u32, lasts: GRANT_LASTS }
+        ShareGrant { share_per_mille: granted as u32, lasts: GRANT_LIFETIME }
     }
 
-    /// Accounts with live grants.
+    /// The number of accounts with live grants.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether no account has grants.
+    /// Whether no account has a live grant.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
@@ -87,9 +87,9 @@
 impl OwnedAccount {
     /// The share of `entry`, in thousandths.
     ///
-    /// Until every entry had time to report, each gets an equal part: the first one to report would
-    /// otherwise be given what the others need, and they would refuse callers for a period. An
-    /// entry that is silent keeps its floor in reserve for the same reason.
+    /// Until every entry had time to report, each gets an equal share: the first one to report
+    /// would otherwise be given what the others need, and they would refuse callers for a whole
+    /// report period. The floor of a silent entry stays reserved for the same reason.
     fn share_of(&self, entry: &InstanceId, weight: u64, (entries, now): (u64, ClockTime)) -> u64 {
         let equal = WHOLE_PER_MILLE / entries;
         let floor = FLOOR_PER_MILLE / entries;
@@ -98,11 +98,13 @@
         let granted: u64 = others().map(|(_, demand)| demand.granted).sum();
         let demand: u64 = others().map(|(_, demand)| demand.weight).sum();
         let fair = floor + (WHOLE_PER_MILLE - FLOOR_PER_MILLE) * weight / (weight + demand).max(1);
-        let wanted = if now - self.known_since < GRANT_LASTS { equal } else { fair };
-        // Never more than what others have not been given: their grants stand until they expire.
+        let wanted = if now - self.known_since < GRANT_LIFETIME { equal } else { fair };
+        // Grant at most what other entries have not been granted: their grants are valid until they
+        // expire.
         let free = WHOLE_PER_MILLE.saturating_sub(granted + silent * floor);
-        // But never below the floor: after an entry left, what it and a busy one hold may leave
-        // nothing until they report or expire, and this one would refuse its callers.
+        // Never grant less than the floor: after an entry left, its grant and that of a busy entry
+        // may use up the limit until they report or expire, and this entry would refuse its
+        // callers.
         wanted.min(free).max(floor).max(1)
     }
 }
--- a/crates/limit/src/pool.rs
+++ b/crates/limit/src/pool.rs
@@ -1,23 +1,25 @@
-//! One window of tokens an account over all processes, without a call per request.
+//! A sliding window of tokens per account across all processes, without a call per request.
 //!
-//! Operators count an account's tokens over sliding windows. A ledger at one process keeps each account's window
-//! and hands out parts of it; the others let in what they were handed, report several times a second what they let in, and
-//! ask when they are short. Whatever the demand and however old the news, no more is let in than was handed out.
+//! Operators count an account's tokens over sliding windows. A ledger in one process keeps each
+//! account's window and grants allotments from it. The other processes admit requests against their
+//! allotments, report what they admitted several times a second, and send a claim at once when they
+//! run short. Whatever the demand and however stale the reports, no more is admitted than was
+//! granted.
 
 mod account;
-mod allot;
 mod gate;
 mod ledger;
-mod past;
+mod message;
+mod prior;
 mod promise;
 mod window;
 
-pub use account::WindowStand;
-pub use allot::{
-    ALLOT_TIME, ANSWER_TIME, ClaimFault, HoldClaim, LedgerBond, PoolAllotment, PoolLimit,
-    PoolSpender, Result, ToldWindow,
+pub use account::WindowStatus;
+pub use gate::{GateStatus, PoolGate};
+pub use ledger::{PoolLedger, STORED_LIFETIME};
+pub use message::{
+    ALLOTMENT_LIFETIME, ANSWER_TIMEOUT, AllotmentClaim, AllotmentHolder, ClaimFault, LastLedger,
+    PoolAllotment, PoolLimit, ReportedWindow, Result,
 };
-pub use gate::{GateStand, PoolGate};
-pub use ledger::{PoolLedger, STORED_LASTS};
-pub use past::{KnownWindow, LedgerPast};
-pub use promise::TOLD_LASTS;
+pub use prior::{KnownWindow, PriorLedger};
+pub use promise::PROMISE_LIFETIME;
--- a/crates/limit/src/pool/account.rs
+++ b/crates/limit/src/pool/account.rs
@@ -1,69 +1,71 @@
-//! One account at the ledger: its window, and what each process holds of it.
+//! One account in the ledger: its window and the allotments of each process.
 
-use super::allot::{
-    ALLOT_TIME, ClaimFault, HoldClaim, PoolAllotment, PoolLimit, PoolSpender, Result, ToldWindow,
+use super::message::{
+    ALLOTMENT_LIFETIME, AllotmentClaim, AllotmentHolder, ClaimFault, PoolAllotment, PoolLimit,
+    ReportedWindow, Result,
 };
-use super::past::LedgerPast;
-use super::promise::{PromiseBook, TOLD_LASTS};
+use super::prior::PriorLedger;
+use super::promise::{PROMISE_LIFETIME, PromiseLog};
 use super::window::SpendWindow;
 use oleander_kind::{AccountName, ClockTime, InstanceId, TimeSpan};
 use std::collections::BTreeMap;
 
-/// How long an allotment is meant to last at the pace at which its holder spends: two periods of reports and a late
-/// answer.
-const HELD_TIME: TimeSpan = TimeSpan(600);
-/// The part of the room that all processes together are handed besides, by equal shares, so that most requests of
-/// an account far below its limit find an allotment at any process.
+/// How long an allotment should last at the rate at which its holder spends: two report periods and
+/// a late answer.
+const ALLOTMENT_TARGET_TIME: TimeSpan = TimeSpan(600);
+/// The part of the free capacity that is granted to all processes in addition, in equal shares, so
+/// that most requests of an account far below its limit find an allotment at any process.
 const SPREAD_PART: f64 = 0.25;
-/// Between two looks for allotments that have ended. Until they are found they count as handed out.
+/// The interval between two scans for expired allotments. Until the scan finds them they count as
+/// outstanding.
 const SETTLE_TIME: TimeSpan = TimeSpan(50);
 
-/// What a ledger has counted of an account over its window.
+/// What the ledger has counted of an account over its window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WindowStand {
+pub struct WindowStatus {
     /// Tokens spent.
     pub spent: u64,
-    /// Tokens handed out and not counted yet.
+    /// Tokens granted and not yet counted as spent.
     pub open: u64,
-    /// Tokens that it lets in.
+    /// The account's capacity over the window, in tokens.
     pub capacity: u64,
-    /// Processes that hold or held allotments.
+    /// The number of processes that hold or held allotments.
     pub holders: usize,
 }
 
-impl WindowStand {
-    /// Whether the account is near its limit.
-    pub fn presses(&self) -> bool {
+impl WindowStatus {
+    /// Whether the account has used more than half of its capacity.
+    pub fn is_near_limit(&self) -> bool {
         (self.spent + self.open) * 2 > self.capacity
     }
 }
 
-/// What an answer goes by besides the account itself.
+/// The inputs of an answer besides the account itself.
 pub struct LedgerTerms<'a> {
-    /// The ledger.
+    /// The ledger's identifier.
     pub source: u64,
     /// The account's limit.
     pub limit: &'a PoolLimit,
-    /// The part of it that is handed out here.
+    /// The part of the limit that this ledger grants.
     pub part: f64,
-    /// Processes that share the limit.
+    /// The number of processes that share the limit.
     pub serving: u32,
-    /// What the store has of the promises, while that binds.
+    /// The promise that the store holds, while it is binding.
     pub stored: Option<f64>,
-    /// In how long more processes count here, if any do.
-    pub more_in: Option<TimeSpan>,
+    /// The time until more processes count as members, if any will.
+    pub more_members_in: Option<TimeSpan>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct LedgerHolder {
-    life: u64,
+    incarnation: u64,
     number: u64,
-    /// Tokens of it that are in the window.
+    /// The holder's tokens that are counted in the window.
     counted: u64,
-    /// Up to how many it may go, by any answer that it may have taken.
+    /// The highest ceiling of any answer that the holder may have accepted.
     ceiling: u64,
     ends_at: ClockTime,
-    /// When its allotment ended and what was left of it then counted as spent.
+    /// When its allotment expired, and the remainder that was then counted as spent.
     ended: Option<(ClockTime, u64)>,
 }
 
@@ -73,29 +75,30 @@
     }
 }
 
-/// An account's window and its holders.
+/// An account's window and its allotment holders.
 #[derive(Debug)]
 pub struct LedgerAccount {
     window: SpendWindow,
     holders: BTreeMap<InstanceId, LedgerHolder>,
-    /// What all holders were handed and is not counted.
+    /// Tokens granted to all holders and not yet counted as spent.
     open: f64,
-    /// What was counted since the ledger began.
+    /// Tokens counted since the ledger began.
     total: f64,
-    promises: PromiseBook,
+    promises: PromiseLog,
     settled_at: ClockTime,
-    /// The ledger before, whose allotments are in the window as if they were spent at this time.
+    /// The previous ledger, whose outstanding allotments are in the window as if spent at this
+    /// time.
     prepaid: Option<(u64, ClockTime)>,
     capacity: f64,
-    /// Seconds of a window as it is told.
+    /// The number of seconds in a reported window.
     seconds: usize,
-    has_handed_out: bool,
+    has_allotted: bool,
 }
 
 impl LedgerAccount {
-    /// Begins with what is known of the time before the ledger.
+    /// Starts from what is known about the time before the ledger.
     pub fn begin(
-        past: &LedgerPast,
+        past: &PriorLedger,
         (account, limit): (&AccountName, &PoolLimit),
         began_at: ClockTime,
     ) -> Self {
@@ -105,22 +108,23 @@
             holders: BTreeMap::new(),
             open: 0.0,
             total: 0.0,
-            promises: PromiseBook::begin(limit, began_at),
+            promises: PromiseLog::begin(limit, began_at),
             settled_at: began_at,
-            prepaid: source.map(|source| (source, began_at + ALLOT_TIME)),
+            prepaid: source.map(|source| (source, began_at + ALLOTMENT_LIFETIME)),
             capacity: 0.0,
             seconds: limit.window.0.div_ceil(1000) as usize + 1,
-            has_handed_out: false,
+            has_allotted: false,
         }
     }
 
-    /// Answers a claim: counts what was spent, and hands out.
+    /// Answers a claim: counts the reported spending and grants an allotment.
     ///
     /// # Errors
-    /// If the claim can't be true, or a later one was answered.
+    ///
+    /// If the claim is impossible, or a later one was answered.
     pub fn answer(
         &mut self,
-        (spender, claim): (&PoolSpender, &HoldClaim),
+        (spender, claim): (&AllotmentHolder, &AllotmentClaim),
         terms: &LedgerTerms<'_>,
         now: ClockTime,
     ) -> Result<PoolAllotment> {
@@ -133,17 +137,18 @@
         let promised = (binding - self.total - self.open).max(0.0);
         let room = self.room();
         let known = (room.min(promised), terms.serving);
-        let (ceiling, retry) = self.hand_out((spender, claim), known, (limit, now));
-        // A ledger that may hand out nothing yet is as good as none: processes go by their own parts until then.
+        let (ceiling, retry) = self.allot((spender, claim), known, (limit, now));
+        // A ledger that may not grant anything yet must not refuse: until then processes admit
+        // against their own shares.
         let retry = retry.filter(|_| terms.part > 0.0);
-        let sooner = [terms.more_in, (promised < room).then_some(TOLD_LASTS)];
+        let sooner = [terms.more_members_in, (promised < room).then_some(PROMISE_LIFETIME)];
         let retry = retry.map(|retry| sooner.into_iter().flatten().fold(retry, TimeSpan::min));
         Ok(PoolAllotment {
             number: claim.number,
             ceiling,
             source: terms.source,
             retry_ms: retry.map(|retry| retry.0),
-            window: self.told(now),
+            window: self.reported(now),
         })
     }
 
@@ -152,19 +157,19 @@
         self.window.sum() == 0.0
     }
 
-    /// Whether anything was handed out here.
-    pub fn has_handed_out(&self) -> bool {
-        self.has_handed_out
+    /// Whether this ledger granted any allotment of the account.
+    pub fn has_allotted(&self) -> bool {
+        self.has_allotted
     }
 
-    /// Up to how much may be handed out, as it is told; tokens since the ledger began.
+    /// The latest announced upper bound on what this ledger grants, in tokens since it began.
     pub fn promise(&self) -> f64 {
-        self.promises.told()
+        self.promises.reported()
     }
 
-    /// How the window stands.
-    pub fn stand(&self) -> WindowStand {
-        WindowStand {
+    /// The current state of the window.
+    pub fn status(&self) -> WindowStatus {
+        WindowStatus {
             spent: self.window.sum() as u64,
             open: self.open as u64,
             capacity: self.capacity as u64,
@@ -172,19 +177,22 @@
         }
     }
 
-    /// The window, and all that may be spent besides before more is told.
-    pub fn told(&self, now: ClockTime) -> ToldWindow {
-        let open = (self.promises.told() - self.total).max(self.open);
-        ToldWindow { seconds: self.window.by_second(now, self.seconds), open: open.ceil() as u64 }
+    /// The window as it is reported, with the most that may be spent before the next report.
+    pub fn reported(&self, now: ClockTime) -> ReportedWindow {
+        let open = (self.promises.reported() - self.total).max(self.open);
+        ReportedWindow {
+            seconds: self.window.by_second(now, self.seconds),
+            open: open.ceil() as u64,
+        }
     }
 
-    /// The window of a ledger that hands out nothing more.
-    pub fn told_at_end(&self, now: ClockTime) -> ToldWindow {
-        ToldWindow { open: self.open.ceil() as u64, ..self.told(now) }
+    /// The window as reported by a ledger that grants nothing more.
+    pub fn final_report(&self, now: ClockTime) -> ReportedWindow {
+        ReportedWindow { open: self.open.ceil() as u64, ..self.reported(now) }
     }
 
-    /// Counts what is left of allotments that have ended: a holder that is silent may have spent all of it. Holders that
-    /// were silent for a whole window are forgotten.
+    /// Counts the remainder of expired allotments as spent, since a silent holder may have spent
+    /// all of it. Drops holders that were silent for a whole window.
     fn settle(&mut self, (length, now): (TimeSpan, ClockTime)) {
         self.window.forget(now - length);
         if now - self.settled_at < SETTLE_TIME {
@@ -208,20 +216,21 @@
         self.total += tokens;
     }
 
-    /// Counts what a holder says that it spent, and takes what it holds for handed out.
+    /// Counts what a holder reports as spent, and counts what it holds as outstanding.
     fn count(
         &mut self,
-        spender: &PoolSpender,
-        claim: &HoldClaim,
+        spender: &AllotmentHolder,
+        claim: &AllotmentClaim,
         (source, now): (u64, ClockTime),
     ) -> Result<()> {
         let known = self.holders.get(&spender.instance).copied();
-        let mut holder = match known.filter(|holder| holder.life == spender.life) {
+        let mut holder = match known.filter(|holder| holder.incarnation == spender.life) {
             Some(holder) => self.known_holder(holder, claim, source)?,
             None => self.new_holder(spender, claim, now),
         };
         let before = known.map_or(0.0, |holder| holder.open());
-        // What it let in by another ledger is counted there, for the processes that belong to that one.
+        // What it admitted under another ledger is counted there, for the processes that belong to
+        // that ledger.
         let by_this =
             if claim.source == source { claim.spent } else { claim.spent.min(holder.ceiling) };
         let new = by_this.saturating_sub(holder.counted);
@@ -239,7 +248,7 @@
     fn known_holder(
         &mut self,
         mut holder: LedgerHolder,
-        claim: &HoldClaim,
+        claim: &AllotmentClaim,
         source: u64,
     ) -> Result<LedgerHolder> {
         if claim.number < holder.number {
@@ -249,7 +258,8 @@
             return Err(ClaimFault::Impossible);
         }
         if let Some((at, left)) = holder.ended.take() {
-            // It is back and says how much of it was spent in truth; it can't spend the rest any more.
+            // The holder is back and reports how much of it was actually spent; it can no longer
+            // spend the rest.
             let unspent = holder.counted.saturating_sub(claim.spent).min(left);
             self.window.take_back(unspent as f64, at);
             self.total -= unspent as f64;
@@ -258,34 +268,34 @@
         Ok(holder)
     }
 
-    /// A process that is new here, or has begun anew.
+    /// Records a process that is new to this ledger or has restarted.
     fn new_holder(
         &mut self,
-        spender: &PoolSpender,
-        claim: &HoldClaim,
+        spender: &AllotmentHolder,
+        claim: &AllotmentClaim,
         now: ClockTime,
     ) -> LedgerHolder {
         if let Some(former) = self.holders.remove(&spender.instance) {
-            // `count` takes its open tokens out of the sum.
+            // `count` subtracts its outstanding tokens from the sum.
             self.spend(former.open(), now);
         }
         let held = claim.ceiling.saturating_sub(claim.spent) as f64;
         if let Some((_, at)) = self.prepaid.filter(|(source, _)| *source == claim.source) {
             self.window.take_back(held, at);
         }
-        LedgerHolder { life: spender.life, counted: claim.spent, ..LedgerHolder::default() }
+        LedgerHolder { incarnation: spender.life, counted: claim.spent, ..LedgerHolder::default() }
     }
 
-    /// What may still be handed out; negative if a limit was lowered.
+    /// The capacity that may still be granted; negative after a limit was lowered.
     fn room(&self) -> f64 {
         self.capacity - self.window.sum() - self.open
     }
 
-    /// Hands out of `room`; gives up to how much the holder may go, and in how long there is room for what it
-    /// needs if there is none now.
-    fn hand_out(
+    /// Grants from `room`. Returns the holder's new ceiling and, if the tokens it needs are not
+    /// free now, the time until they are.
+    fn allot(
         &mut self,
-        (spender, claim): (&PoolSpender, &HoldClaim),
+        (spender, claim): (&AllotmentHolder, &AllotmentClaim),
         (room, serving): (f64, u32),
         (limit, now): (&PoolLimit, ClockTime),
     ) -> (u64, Option<TimeSpan>) {
@@ -293,20 +303,21 @@
             return (claim.spent, None);
         };
         let held = claim.ceiling.saturating_sub(claim.spent) as f64;
-        // What it holds is counted already. Taken back because not all processes count here yet, callers of all
-        // accounts would be refused at each change of the ledger.
+        // What the holder has is counted already. If it were revoked because not all processes
+        // count as members yet, callers of all accounts would be refused at each change of the
+        // ledger.
         let room = room.max(0.0);
         let most = held + room;
         let spread = room * SPREAD_PART / f64::from(serving.max(1));
-        let lasting = claim.pace as f64 * HELD_TIME.0 as f64 / 1000.0 + spread;
+        let lasting = claim.pace as f64 * ALLOTMENT_TARGET_TIME.0 as f64 / 1000.0 + spread;
         let needs = claim.needs as f64;
         let lacks = needs > most;
         let wanted = if lacks { lasting } else { lasting + needs };
         let ceiling = claim.spent + wanted.min(most) as u64;
         let before = holder.open();
-        self.has_handed_out |= ceiling > claim.ceiling;
+        self.has_allotted |= ceiling > claim.ceiling;
         holder.ceiling = holder.ceiling.max(ceiling);
-        holder.ends_at = now + ALLOT_TIME;
+        holder.ends_at = now + ALLOTMENT_LIFETIME;
         self.open += holder.open() - before;
         let retry = lacks.then(|| self.window.freed_in(needs - most, (limit.length(), now)));
         (ceiling, retry)
--- a/crates/limit/src/pool/ledger.rs
+++ b/crates/limit/src/pool/ledger.rs
@@ -1,30 +1,32 @@
-//! The side that counts and hands out.
+//! The ledger, which counts spending and grants allotments.
 //!
-//! What was counted over an account's window and what is handed out and not counted yet never pass its capacity
-//! together. That holds for any demand, for any number of processes and however old their news are; nothing of it
-//! is a forecast.
-
-use super::account::{LedgerAccount, LedgerTerms, WindowStand};
-use super::allot::{
-    ALLOT_TIME, HoldClaim, LedgerBond, PoolAllotment, PoolLimit, PoolSpender, Result, ToldWindow,
+//! What was counted over an account's window and what is granted but not yet counted never exceed
+//! its capacity together. That holds for any demand, any number of processes and any report delay;
+//! nothing is based on a forecast.
+
+use super::account::{LedgerAccount, LedgerTerms, WindowStatus};
+use super::message::{
+    ALLOTMENT_LIFETIME, AllotmentClaim, AllotmentHolder, LastLedger, PoolAllotment, PoolLimit,
+    ReportedWindow, Result,
 };
-use super::past::{KnownWindow, LedgerPast};
+use super::prior::{KnownWindow, PriorLedger};
 use oleander_kind::{AccountName, ClockTime, InstanceId, TimeSpan};
 use std::collections::{BTreeMap, HashMap};
 
-/// What the store has binds a ledger for this long after it was written. A process that finds it younger takes what it
-/// says for all that was handed out: longer than processes that lost their power are away.
-pub const STORED_LASTS: TimeSpan = TimeSpan(3000);
+/// Promises in the store bind a ledger for this long after they were written. A process that finds
+/// them younger than this takes them as the upper bound on what was granted; the time is longer
+/// than processes are down after a power loss.
+pub const STORED_LIFETIME: TimeSpan = TimeSpan(3000);
 
-/// The windows of all accounts, at one process.
+/// The windows of all accounts; kept by one process.
 #[derive(Debug)]
 pub struct PoolLedger {
     source: u64,
     began_at: ClockTime,
-    past: LedgerPast,
+    past: PriorLedger,
     accounts: BTreeMap<AccountName, LedgerAccount>,
     members: HashMap<InstanceId, LedgerMember>,
-    /// What the store has of the promises, and when it was sent there.
+    /// The promises that the store holds, and when they were sent there.
     stored: Option<(BTreeMap<AccountName, f64>, ClockTime)>,
 }
 
@@ -35,8 +37,8 @@
 }
 
 impl PoolLedger {
-    /// Begins with what is known of the time before. `source` names the ledger.
-    pub fn begin(source: u64, past: LedgerPast, now: ClockTime) -> Self {
+    /// Starts from what is known about the time before it. `source` identifies the ledger.
+    pub fn begin(source: u64, past: PriorLedger, now: ClockTime) -> Self {
         PoolLedger {
             source,
             began_at: now,
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Its name.
+    /// The ledger's identifier.
     pub fn source(&self) -> u64 {
         self.source
     }
@@ -57,26 +59,31 @@
         self.accounts.values().all(LedgerAccount::is_idle)
     }
 
-    /// Whether nothing was handed out yet.
-    pub fn is_untouched(&self) -> bool {
-        !self.accounts.values().any(LedgerAccount::has_handed_out)
+    /// Whether no allotment was granted yet.
+    pub fn is_unused(&self) -> bool {
+        !self.accounts.values().any(LedgerAccount::has_allotted)
     }
 
-    /// Notes that a process reports, and which ledger it went by last. Spending counts for `length`.
+    /// Records that a process reports, and which ledger answered it last. Spending counts for
+    /// `length`.
     ///
-    /// A ledger hands out the part of a limit that belongs to the processes which report to it. In a cut, or while one
-    /// ledger follows another, each process counts at one of them at a time; else both would hand out its part. What a
-    /// process let in by a ledger that this one knows nothing of must have left the window before.
+    /// A ledger grants the part of a limit that belongs to the processes which report to it. In a
+    /// network partition, or while one ledger replaces another, each process must count at one
+    /// ledger at a time; otherwise both would grant its part. What a process admitted under a
+    /// ledger that this one knows nothing of must have left the window before the process counts
+    /// here.
     pub fn note_member(
         &mut self,
         id: &InstanceId,
-        bond: Option<LedgerBond>,
+        bond: Option<LastLedger>,
         (length, now): (TimeSpan, ClockTime),
     ) {
         let wait = match bond.filter(|bond| bond.source != self.source) {
             None => TimeSpan(0),
-            Some(bond) if self.past.knows(bond.source) && self.past.is_handed() => TimeSpan(0),
-            Some(bond) if self.past.knows(bond.source) => bond.left,
+            Some(bond) if self.past.includes(bond.source) && self.past.is_handed_over() => {
+                TimeSpan(0)
+            }
+            Some(bond) if self.past.includes(bond.source) => bond.left,
             Some(bond) => {
                 let spent = bond
                     .spent_ago
@@ -86,46 +93,48 @@
         };
         let fresh = LedgerMember { counts_from: now + wait, heard_at: now };
         let member = self.members.entry(id.clone()).or_insert(fresh);
-        if now - member.heard_at >= ALLOT_TIME {
+        if now - member.heard_at >= ALLOTMENT_LIFETIME {
             *member = fresh;
         }
         member.heard_at = now;
         self.members.retain(|_, member| now - member.heard_at < length);
     }
 
-    /// How many processes count here.
+    /// The number of processes that count as members of this ledger.
     pub fn member_count(&self, now: ClockTime) -> u32 {
         let counts = |member: &&LedgerMember| {
-            member.counts_from <= now && now - member.heard_at < ALLOT_TIME
+            member.counts_from <= now && now - member.heard_at < ALLOTMENT_LIFETIME
         };
         self.members.values().filter(counts).count() as u32
     }
 
-    /// The part of `serving` processes that count here.
+    /// The part of `serving` processes that count as members of this ledger.
     fn part(&self, serving: u32, now: ClockTime) -> f64 {
         (f64::from(self.member_count(now)) / f64::from(serving.max(1))).min(1.0)
     }
 
-    /// In how long more processes count here.
+    /// The time until more processes count as members of this ledger.
     fn more_members_in(&self, now: ClockTime) -> Option<TimeSpan> {
         let waits = self.members.values().filter(|member| member.counts_from > now);
         waits.map(|member| member.counts_from - now).min()
     }
 
-    /// Answers a claim: counts what was spent, and hands out. `serving` processes share the limit.
+    /// Answers a claim: counts the reported spending and grants an allotment. `serving` processes
+    /// share the limit.
     ///
     /// # Errors
-    /// If the claim can't be true, or a later one was answered.
+    ///
+    /// If the claim is impossible, or a later one was answered.
     pub fn claim(
         &mut self,
         account: &AccountName,
         (limit, serving): (&PoolLimit, u32),
-        (spender, claim): (&PoolSpender, &HoldClaim),
+        (spender, claim): (&AllotmentHolder, &AllotmentClaim),
         now: ClockTime,
     ) -> Result<PoolAllotment> {
         let part = self.part(serving, now);
-        let more_in = self.more_members_in(now);
-        let stored = self.stored.as_ref().filter(|(_, at)| now - *at < STORED_LASTS);
+        let more_members_in = self.more_members_in(now);
+        let stored = self.stored.as_ref().filter(|(_, at)| now - *at < STORED_LIFETIME);
         let stored = stored.and_then(|(promises, _)| promises.get(account).copied());
         let owned = match self.accounts.get_mut(account) {
             Some(owned) => owned,
@@ -134,37 +143,40 @@
                 self.accounts.entry(account.clone()).or_insert(fresh)
             }
         };
-        let terms = LedgerTerms { source: self.source, limit, part, serving, stored, more_in };
+        let terms =
+            LedgerTerms { source: self.source, limit, part, serving, stored, more_members_in };
         owned.answer((spender, claim), &terms, now)
     }
 
-    /// Ends in order: what the next ledger has to know.
+    /// The windows that the next ledger takes over when this one ends in order.
     pub fn hand_over(&self, now: ClockTime) -> Vec<(AccountName, KnownWindow)> {
         let known = |(name, owned): (&AccountName, &LedgerAccount)| {
-            let told = owned.told_at_end(now);
-            (name.clone(), KnownWindow { told, age: TimeSpan(0), source: self.source })
+            let reported = owned.final_report(now);
+            (name.clone(), KnownWindow { reported, age: TimeSpan(0), source: self.source })
         };
         self.accounts.iter().map(known).collect()
     }
 
-    /// What is kept in the store for a ledger that begins when nobody is left that knows, and the promises in it.
-    pub fn to_store(
+    /// The windows to store for a ledger that starts when no process is left that knows them, and
+    /// the promises that they contain.
+    pub fn export_windows(
         &self,
         now: ClockTime,
-    ) -> (Vec<(AccountName, ToldWindow)>, BTreeMap<AccountName, f64>) {
-        let told = |(name, owned): (&AccountName, &LedgerAccount)| (name.clone(), owned.told(now));
+    ) -> (Vec<(AccountName, ReportedWindow)>, BTreeMap<AccountName, f64>) {
+        let reported =
+            |(name, owned): (&AccountName, &LedgerAccount)| (name.clone(), owned.reported(now));
         let promise =
             |(name, owned): (&AccountName, &LedgerAccount)| (name.clone(), owned.promise());
-        (self.accounts.iter().map(told).collect(), self.accounts.iter().map(promise).collect())
+        (self.accounts.iter().map(reported).collect(), self.accounts.iter().map(promise).collect())
     }
 
-    /// Notes that the store has promises, sent there at `sent_at`.
+    /// Records that the store holds `promises`, sent there at `sent_at`.
     pub fn note_stored(&mut self, promises: BTreeMap<AccountName, f64>, sent_at: ClockTime) {
         self.stored = Some((promises, sent_at));
     }
 
-    /// How the windows stand.
-    pub fn windows(&self) -> impl Iterator<Item = (&AccountName, WindowStand)> {
-        self.accounts.iter().map(|(name, owned)| (name, owned.stand()))
+    /// The state of each account's window.
+    pub fn windows(&self) -> impl Iterator<Item = (&AccountName, WindowStatus)> {
+        self.accounts.iter().map(|(name, owned)| (name, owned.status()))
     }
 }
--- a/crates/limit/src/pool/promise.rs
+++ b/crates/limit/src/pool/promise.rs
@@ -1,68 +1,72 @@
-//! Up to how much a ledger may have handed out, as others know it.
+//! Announced upper bounds on what a ledger grants.
 //!
-//! A ledger that dies takes with it what it handed out since it last told. So it tells beforehand how far it will go, and goes
-//! no further than what everybody who heard of it lately was told: the next ledger takes that for spent.
+//! A ledger that dies takes with it the record of what it granted since its last report. It
+//! therefore announces an upper bound, called a promise, before it grants up to it, and stays
+//! within the bound that every process which recently received a report knows. The next ledger
+//! counts that bound as spent.
 
-use super::allot::PoolLimit;
+use super::message::PoolLimit;
 use oleander_kind::{ClockTime, TimeSpan};
 use std::collections::VecDeque;
 
-/// A promise binds its ledger from this long after it was made. A process that was told less lately can't begin a
-/// ledger by it: a report period, two late answers and a turn to the next collector.
-pub const TOLD_LASTS: TimeSpan = TimeSpan(1200);
-/// Between two promises: a period of reports.
-const RENEW_TIME: TimeSpan = TimeSpan(250);
-/// How much faster than before it may be handed out.
-const STEP_TIMES: f64 = 2.0;
+/// A promise binds its ledger from this long after it was made. A process whose last report is
+/// older than this cannot start a ledger from it. The time covers a report period, two late answers
+/// and a change of collector.
+pub const PROMISE_LIFETIME: TimeSpan = TimeSpan(1200);
+/// The interval between two promises: one report period.
+const PROMISE_PERIOD: TimeSpan = TimeSpan(250);
+/// The factor by which grants may grow from one promise to the next.
+const GROWTH_FACTOR: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug)]
 struct PromiseMark {
     at: ClockTime,
-    /// What was handed out by then.
+    /// Tokens granted by then.
     total: f64,
     promise: f64,
 }
 
-/// The promises of one account; all figures are tokens since the ledger began.
+/// The promises of one account; all values are tokens since the ledger began.
 #[derive(Debug)]
-pub struct PromiseBook {
+pub struct PromiseLog {
     marks: VecDeque<PromiseMark>,
 }
 
-/// What may be handed out from one promise to the next, however little was before: what the operators let come at once.
-/// More would let an account jump more freely, and take more for spent after the loss of a ledger.
-pub fn first_promise(limit: &PoolLimit) -> f64 {
-    limit.burst + limit.rate_per_s * TOLD_LASTS.0 as f64 / 1000.0
+/// The least that may be granted from one promise to the next, however little was granted before:
+/// the burst that operators allow. A larger value would let an account's demand rise more freely,
+/// but would count more as spent after the loss of a ledger.
+pub fn min_promise(limit: &PoolLimit) -> f64 {
+    limit.burst + limit.rate_per_s * PROMISE_LIFETIME.0 as f64 / 1000.0
 }
 
-impl PromiseBook {
-    /// Begins with the first promise.
+impl PromiseLog {
+    /// Starts with the first promise.
     pub fn begin(limit: &PoolLimit, now: ClockTime) -> Self {
-        let first = PromiseMark { at: now, total: 0.0, promise: first_promise(limit) };
-        PromiseBook { marks: VecDeque::from([first]) }
+        let first = PromiseMark { at: now, total: 0.0, promise: min_promise(limit) };
+        PromiseLog { marks: VecDeque::from([first]) }
     }
 
-    /// Makes the next promise if it is time; `total` is handed out by now.
+    /// Makes the next promise if one is due; `total` tokens are granted by now.
     pub fn renew(&mut self, total: f64, (limit, now): (&PoolLimit, ClockTime)) {
         let (Some(first), Some(last)) = (self.marks.front(), self.marks.back()) else { return };
-        if now - last.at < RENEW_TIME {
+        if now - last.at < PROMISE_PERIOD {
             return;
         }
-        let step = first_promise(limit).max((total - first.total) * STEP_TIMES);
+        let step = min_promise(limit).max((total - first.total) * GROWTH_FACTOR);
         let promise = last.promise.max(total + step);
         self.marks.push_back(PromiseMark { at: now, total, promise });
-        while self.marks.get(1).is_some_and(|mark| now - mark.at >= TOLD_LASTS) {
+        while self.marks.get(1).is_some_and(|mark| now - mark.at >= PROMISE_LIFETIME) {
             self.marks.pop_front();
         }
     }
 
-    /// What the ledger keeps to.
+    /// The promise that the ledger must stay within.
     pub fn binding(&self) -> f64 {
         self.marks.front().map_or(0.0, |mark| mark.promise)
     }
 
-    /// What it tells.
-    pub fn told(&self) -> f64 {
+    /// The promise that the ledger announces.
+    pub fn reported(&self) -> f64 {
         self.marks.back().map_or(0.0, |mark| mark.promise)
     }
 }
--- a/crates/limit/src/pool/window.rs
+++ b/crates/limit/src/pool/window.rs
@@ -1,20 +1,21 @@
-//! What was spent over a sliding window.
+//! Tokens spent over a sliding window.
 
 use oleander_kind::{ClockTime, TimeSpan};
 use std::collections::VecDeque;
 
-/// Spending is kept in slots of this length.
+/// The length of a slot; spending is aggregated per slot.
 const SLOT_TIME: TimeSpan = TimeSpan(250);
 
 #[derive(Clone, Copy, Debug)]
 struct SpendSlot {
     began_at: ClockTime,
-    /// The last spending in it. The slot leaves the window by this, so that nothing leaves it early.
+    /// The last spending in the slot. The slot leaves the window by this time, so that no tokens
+    /// leave early.
     at: ClockTime,
     tokens: f64,
 }
 
-/// Tokens spent, in slots; the oldest first.
+/// Tokens spent, in slots ordered from the oldest.
 #[derive(Clone, Debug, Default)]
 pub struct SpendWindow {
     slots: VecDeque<SpendSlot>,
@@ -22,7 +23,7 @@
 }
 
 impl SpendWindow {
-    /// Counts `tokens` spent at `at`, or not later.
+    /// Counts `tokens` that were spent at `at` or earlier.
     pub fn spend(&mut self, tokens: f64, at: ClockTime) {
         if tokens <= 0.0 {
             return;
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Takes back tokens that were counted at `at` and turned out not to be spent.
+    /// Removes tokens that were counted at `at` and turned out not to be spent.
     pub fn take_back(&mut self, tokens: f64, at: ClockTime) {
         if let Some(slot) = self.slots.iter_mut().find(|slot| slot.at >= at) {
             let taken = tokens.min(slot.tokens);
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Forgets what was spent before `before`.
+    /// Drops slots whose last spending was before `before`.
     pub fn forget(&mut self, before: ClockTime) {
         while self.slots.front().is_some_and(|slot| slot.at < before) {
             self.slots.pop_front();
@@ -56,12 +57,12 @@
         self.sum = self.slots.iter().map(|slot| slot.tokens).sum();
     }
 
-    /// All of it.
+    /// The sum of all tokens in the window.
     pub fn sum(&self) -> f64 {
         self.sum
     }
 
-    /// How long until `tokens` have left a window of `length`; all of it at the latest.
+    /// The time until `tokens` have left a window of `length`; at most the whole window.
     pub fn freed_in(&self, tokens: f64, (length, now): (TimeSpan, ClockTime)) -> TimeSpan {
         let mut freed = 0.0;
         let enough = self.slots.iter().find(|slot| {
@@ -71,7 +72,7 @@
         enough.map_or(length, |slot| slot.at + length - now)
     }
 
-    /// What was spent in each second before `now`, the last second first, for `seconds` seconds.
+    /// Tokens spent in each second before `now`, the last second first, for `seconds` seconds.
     pub fn by_second(&self, now: ClockTime, seconds: usize) -> Vec<u32> {
         let mut sums = vec![0.0; seconds];
         for slot in &self.slots {
--- a/crates/limit/src/rate.rs
+++ b/crates/limit/src/rate.rs
@@ -1,13 +1,15 @@
-//! Rates of endpoints that named a limit for themselves, handed out over all processes.
+//! Request rates of endpoints that set a limit for themselves, leased to processes.
 //!
-//! An endpoint in need says how many requests a second it takes from all processes together. The process that collects
-//! hands that rate out in leases to a few of them; the others send nothing there. A lease ends on its holder's own
-//! clock, and its holder sends by a bucket of little more than one request, which gains nothing without a lease. So whatever the demand, the number of processes, or
-//! the news that are lost, an endpoint that names `n` a second gets at most `4 n + 2` requests in 4 s by the leases of
-//! one collector; nothing is counted, so that nothing has to be known of the time before.
+//! An overloaded endpoint states how many requests a second it accepts from all processes together.
+//! The collector leases that rate to a few processes; the others send no requests there. A lease
+//! expires by its holder's own clock, and its holder sends through a token bucket of little more than
+//! one request, which does not fill without a lease. So, whatever the demand, the number of processes
+//! or the message loss, an endpoint that sets `n` requests a second receives at most `4 n + 2` of
+//! them in 4 s under the leases of one collector. Nothing is counted, so a new collector needs no
+//! earlier state.
 
+mod allocator;
 mod bucket;
-mod desk;
 
+pub use allocator::{LimitedEndpoint, RateAllocator, RateKey, own_share};
 pub use bucket::RateBucket;
-pub use desk::{RateDesk, RateKey, RatedEndpoint, own_part};
--- a/crates/limit/src/share.rs
+++ b/crates/limit/src/share.rs
@@ -1,10 +1,10 @@
-//! An entry's own count against its share of an account's limits.
+//! Admission control at one entry, against its share of an account's limits.
 
 use crate::owner::{DemandReport, ShareGrant};
 use oleander_kind::{AccountName, ClockTime, TimeSpan};
 use std::collections::BTreeMap;
 
-/// An account's limits over all entries.
+/// An account's limits across all entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AccountLimits {
     /// Requests a second.
@@ -15,21 +15,21 @@
     pub tokens_per_s: u32,
 }
 
-/// What the gate says to a request.
+/// The decision on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitVerdict {
-    /// Let it in.
+    /// Admit the request.
     Pass,
-    /// Refuse it; it may come back after `retry_ms`.
+    /// Refuse the request; the caller may retry after `retry_ms`.
     Refuse {
-        /// When to come back, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_ms: u64,
     },
 }
 
 const MILLI: u64 = 1000;
 /// The largest burst, as time at the share's rate.
-const BURST: TimeSpan = TimeSpan(1000);
+const BURST_TIME: TimeSpan = TimeSpan(1000);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct TokenBucket {
@@ -39,7 +39,7 @@
 
 impl TokenBucket {
     fn fill(&mut self, rate_per_s: u64, now: ClockTime) {
-        let most = (rate_per_s * BURST.0).max(MILLI);
+        let most = (rate_per_s * BURST_TIME.0).max(MILLI);
         let gained = (now - self.filled_at).0 * rate_per_s;
         self.milli = (self.milli + gained).min(most);
         self.filled_at = now;
@@ -55,7 +55,7 @@
     grant: Option<(ShareGrant, ClockTime)>,
 }
 
-/// Counts requests of every account at one entry.
+/// Counts the requests of every account at one entry and admits them within the entry's share.
 #[derive(Debug)]
 pub struct LimitGate {
     accounts: BTreeMap<AccountName, AccountState>,
@@ -63,17 +63,17 @@
 }
 
 impl LimitGate {
-    /// A gate of one of `entries` entries.
+    /// Creates a gate for one of `entries` entries.
     pub fn new(entries: u32) -> Self {
         LimitGate { accounts: BTreeMap::new(), entries: entries.max(1) }
     }
 
-    /// Notes how many entries there are: without a grant each takes an equal share.
+    /// Sets the number of entries: without a grant each entry takes an equal share.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Judges a request of `account` that wants `tokens` tokens, and counts it if it passes.
+    /// Decides on a request of `account` for `tokens` tokens, and counts it if it is admitted.
     pub fn admit(
         &mut self,
         account: &AccountName,
@@ -89,8 +89,9 @@
         let (requests, tokens_rate) = (of(limits.requests_per_s), of(limits.tokens_per_s));
         state.requests.fill(requests, now);
         state.tokens.fill(tokens_rate, now);
-        // A request larger than the burst must still pass some time, so it needs a full bucket only.
-        let need = (tokens * MILLI).min(tokens_rate * BURST.0);
+        // A request larger than the burst must be admitted eventually, so it needs a full bucket
+        // only.
+        let need = (tokens * MILLI).min(tokens_rate * BURST_TIME.0);
         if u64::from(state.in_flight) >= of(limits.in_flight) {
             return LimitVerdict::Refuse { retry_ms: MILLI };
         }
@@ -109,29 +110,29 @@
         LimitVerdict::Pass
     }
 
-    /// Notes that a request of `account` is over.
+    /// Records that a request of `account` has ended.
     pub fn release(&mut self, account: &AccountName) {
         if let Some(state) = self.accounts.get_mut(account) {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 
-    /// Requests of `account` in flight here.
+    /// Requests of `account` in flight at this entry.
     pub fn in_flight(&self, account: &AccountName) -> u32 {
         self.accounts.get(account).map_or(0, |state| state.in_flight)
     }
 
-    /// Accounts known here.
+    /// The number of accounts known at this entry.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether no account is known here.
+    /// Whether no account is known at this entry.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
 
-    /// The demand since the last reports, for the accounts that had any.
+    /// Takes the demand since the last reports, for the accounts that had any.
     pub fn take_reports(&mut self) -> Vec<(AccountName, DemandReport)> {
         let mut reports = Vec::new();
         for (name, state) in &mut self.accounts {
@@ -145,14 +146,14 @@
         reports
     }
 
-    /// Takes a grant from an account's owner.
+    /// Applies a grant from the account's owner.
     pub fn take_grant(&mut self, account: &AccountName, grant: ShareGrant, now: ClockTime) {
         self.account(account, now).grant = Some((grant, now));
     }
 
     fn account(&mut self, name: &AccountName, now: ClockTime) -> &mut AccountState {
         self.accounts.entry(name.clone()).or_insert_with(|| AccountState {
-            // A full second of any rate: `fill` caps it at the share's burst.
+            // More than a second at any rate; `fill` caps it at the share's burst.
             requests: TokenBucket { milli: u64::MAX / 4, filled_at: now },
             tokens: TokenBucket { milli: u64::MAX / 4, filled_at: now },
             in_flight: 0,
@@ -163,8 +164,9 @@
 }
 
 impl AccountState {
-    /// This entry's share in thousandths: what was granted, or an equal part. An expired grant
-    /// falls back, because its owner may be gone and another may be granting the same room.
+    /// This entry's share in thousandths: the granted share, or an equal one. An expired grant
+    /// falls back to the equal share, because its owner may be gone and another owner may be
+    /// granting the same capacity.
     fn share_per_mille(&self, entries: u64, now: ClockTime) -> u64 {
         match &self.grant {
             Some((grant, at)) if now - *at < grant.lasts => u64::from(grant.share_per_mille),
--- a/crates/mesh/src/collector.rs
+++ b/crates/mesh/src/collector.rs
@@ -11,7 +11,7 @@
 use crate::view::MeshView;
 use oleander_call::RuleSet;
 use oleander_kind::{AccountName, ClockTime, InstanceId, ServiceName, TimeSpan};
-use oleander_limit::{PoolLedger, PoolLimit, RateDesk};
+use oleander_limit::{PoolLedger, PoolLimit, RateAllocator};
 use oleander_list::{RosterBook, RosterState};
 use oleander_pace::{ReadPace, join_paces};
 use oleander_plat::FeedObject;
@@ -87,7 +87,7 @@
     demand: BTreeMap<ServiceName, (DemandRate, ClockTime)>,
     judge: EndpointJudge,
     loads: LoadTable,
-    rates: RateDesk,
+    rates: RateAllocator,
     began_at: ClockTime,
 }
 
@@ -102,7 +102,7 @@
             demand: BTreeMap::new(),
             judge: EndpointJudge::default(),
             loads: LoadTable::default(),
-            rates: RateDesk::default(),
+            rates: RateAllocator::default(),
             began_at: now,
         }
     }
@@ -290,7 +290,7 @@
     }
 
     /// The rates of limited endpoints.
-    pub fn rates(&mut self) -> &mut RateDesk {
+    pub fn rates(&mut self) -> &mut RateAllocator {
         &mut self.rates
     }
 
--- a/crates/mesh/src/limit_message.rs
+++ b/crates/mesh/src/limit_message.rs
@@ -1,7 +1,7 @@
 //! What processes tell one another of limits of client accounts.
 
 use oleander_kind::{AccountName, InstanceId};
-use oleander_limit::{HoldClaim, KnownWindow, LedgerBond, PoolAllotment};
+use oleander_limit::{AllotmentClaim, KnownWindow, LastLedger, PoolAllotment};
 use serde::{Deserialize, Serialize};
 
 /// What a process says of its allotment of an account.
@@ -12,7 +12,7 @@
     pub account: AccountName,
     /// What it says.
     #[serde(rename = "n")]
-    pub claim: HoldClaim,
+    pub claim: AllotmentClaim,
 }
 
 /// A process that is short asks for room at once.
@@ -26,7 +26,7 @@
     pub life: u64,
     /// The ledger that it went by last.
     #[serde(rename = "b")]
-    pub bond: Option<LedgerBond>,
+    pub bond: Option<LastLedger>,
     /// The claim.
     #[serde(rename = "c")]
     pub claim: AccountClaim,
--- a/crates/mesh/src/limits.rs
+++ b/crates/mesh/src/limits.rs
@@ -7,7 +7,7 @@
 use oleander_call::RuleSet;
 use oleander_kind::{AccountName, ClockTime, TimeSpan};
 use oleander_limit::{
-    ClaimFault, HoldClaim, PoolAllotment, PoolLedger, PoolLimit, PoolSpender, WindowStand,
+    AllotmentClaim, AllotmentHolder, ClaimFault, PoolAllotment, PoolLedger, PoolLimit, WindowStatus,
 };
 
 /// For how long what a process let in by another ledger counts where no account has a limit: only requests of roll-outs are
@@ -47,7 +47,7 @@
     }
 
     /// What is counted of each account.
-    pub fn windows(&self) -> impl Iterator<Item = (&AccountName, WindowStand)> {
+    pub fn windows(&self) -> impl Iterator<Item = (&AccountName, WindowStatus)> {
         self.ledger.iter().flat_map(PoolLedger::windows)
     }
 
@@ -58,7 +58,7 @@
         facts: &CollectorFacts<'_>,
     ) -> Vec<AccountAllotment> {
         let Some(claims) = &report.claims else { return Vec::new() };
-        let spender = PoolSpender { instance: report.card.id.clone(), life: report.card.life };
+        let spender = AllotmentHolder { instance: report.card.id.clone(), life: report.card.life };
         let claims = with_others(claims, facts);
         if !report.card.leaving
             && let Some(ledger) = &mut self.ledger
@@ -84,7 +84,7 @@
         known: (&PoolLimit, u32),
         now: ClockTime,
     ) -> Option<PoolAllotment> {
-        let spender = PoolSpender { instance: ask.id.clone(), life: ask.life };
+        let spender = AllotmentHolder { instance: ask.id.clone(), life: ask.life };
         if has_rate(known.0) {
             self.ledger.as_mut()?.note_member(&ask.id, ask.bond, (known.0.length(), now));
         }
@@ -94,7 +94,7 @@
     fn claim(
         &mut self,
         claim: &AccountClaim,
-        spender: &PoolSpender,
+        spender: &AllotmentHolder,
         known: (&PoolLimit, u32),
         now: ClockTime,
     ) -> Option<PoolAllotment> {
@@ -127,6 +127,6 @@
     let lacks = |name: &AccountName| claims.iter().all(|claim| claim.account != *name);
     let others = accounts.iter().map(|account| &account.name).filter(|name| lacks(name));
     let others =
-        others.map(|name| AccountClaim { account: name.clone(), claim: HoldClaim::default() });
+        others.map(|name| AccountClaim { account: name.clone(), claim: AllotmentClaim::default() });
     claims.iter().cloned().chain(others).collect()
 }
--- a/crates/mesh/src/message.rs
+++ b/crates/mesh/src/message.rs
@@ -8,7 +8,7 @@
 use oleander_kind::hash::mix_bits;
 use oleander_kind::{AccountName, ClockTime, DomainName, InstanceId, ServiceName};
 use oleander_lease::LeaseRecord;
-use oleander_limit::{LedgerBond, PoolAllotment};
+use oleander_limit::{LastLedger, PoolAllotment};
 use oleander_list::{PartAsk, RosterPart, RosterStand, RosterState, RosterUpdate, VouchNote};
 use oleander_pace::ReadPace;
 use oleander_plat::FeedObject;
@@ -221,7 +221,7 @@
     pub claims: Option<Vec<AccountClaim>>,
     /// The ledger that it went by last.
     #[serde(rename = "b", default)]
-    pub bond: Option<LedgerBond>,
+    pub bond: Option<LastLedger>,
     /// The ledger that it kept until now.
     #[serde(rename = "h", default)]
     pub handed: Option<HandedLedger>,
--- a/tests/all/keeping.rs
+++ b/tests/all/keeping.rs
@@ -1,4 +1,5 @@
-//! The ledger of limits where the process that keeps it changes, with real processes in virtual time.
+//! The ledger of account limits when the process that keeps it changes; real processes in simulated
+//! time.
 
 use crate::plays::{PlayGroup, play};
 use oleandertack::front::FrontProcess;
@@ -8,18 +9,18 @@
 use tokio::time::sleep;
 
 const PROCESSES: usize = 5;
-/// Tokens a second of the one account, and at once.
+/// The account's rate in tokens a second, and its burst.
 const RATE: u64 = 10_000;
-/// What each process lets in at once.
+/// What each process admits at once.
 const TOKENS: u64 = 400;
-/// Until all have reported, twice.
+/// The time in which all processes have reported twice.
 const REPORTED: Duration = Duration::from_millis(600);
 
 fn account() -> AccountName {
     AccountName::from("tartu")
 }
 
-/// Processes with a limited account, each of which has let some of it in.
+/// Starts processes with a limited account, each of which has admitted some of its tokens.
 async fn spending_group() -> PlayGroup {
     let group = PlayGroup::start(PROCESSES).await;
     group.limit_account(8, RATE);
@@ -37,7 +38,7 @@
     node.limits.borrow_mut().spend(&account(), TOKENS, now)
 }
 
-/// What the ledger of a process has counted and handed out; none if it has no ledger.
+/// The spent and outstanding tokens in a process's ledger; `None` if it has no ledger.
 fn counted(process: &FrontProcess) -> Option<(u64, u64)> {
     let mesh = process.node.mesh.borrow();
     let ledger = mesh.collector.as_ref()?.ledger()?;
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn the_ledger_counts_what_all_processes_let_in() {
+fn the_ledger_counts_admissions_of_all_processes() {
     play(async {
         let group = spending_group().await;
 
@@ -66,10 +67,11 @@
 }
 
 #[test]
-fn a_collector_that_is_sent_back_goes_on_with_its_ledger() {
-    // Callers of all accounts are refused below their limits every few seconds. At a new turn the collector goes
-    // over to another process, which goes by it still and sends it back. It had ended its ledger by then, and began
-    // anew by what was told or stored a second before: all windows counted as nearly full.
+fn a_collector_that_is_redirected_back_keeps_its_ledger() {
+    // Callers of all accounts are refused below their limits every few seconds. At an election the
+    // collector defers to another process, which still follows the old one and redirects it back.
+    // If the collector has ended its ledger by then, it starts a new one from what was reported or
+    // stored a second before, in which all windows count as nearly full.
     play(async {
         let group = spending_group().await;
         let collector = group.collector();
@@ -89,9 +91,9 @@
 
 #[test]
 fn a_collector_keeps_its_ledger_until_the_next_one_answers() {
-    // Callers are refused for a whole window several times in the twenty seconds after a process was lost. The collector goes
-    // over to the lost one at each turn, as that ranks first, and had given its ledger away with the report that
-    // nobody answered.
+    // Callers are refused for a whole window several times in the twenty seconds after a process
+    // was lost. At each election the collector defers to the lost process, since that ranks first.
+    // It must not give its ledger away with a report that nobody answers.
     play(async {
         let group = spending_group().await;
         let node = group.processes[group.collector()].node.clone();
@@ -113,7 +115,8 @@
 
 #[test]
 fn a_ledger_is_handed_over_when_its_process_leaves() {
-    // A process that stops hands its ledger to the next one: no window is taken for full, and nothing is forgotten.
+    // A process that stops hands its ledger to the next one: no window is assumed to be full, and
+    // no spending is lost.
     play(async {
         let group = spending_group().await;
         let collector = group.collector();
@@ -130,9 +133,10 @@
 }
 
 #[test]
-fn all_processes_killed_go_on_with_the_window_of_the_store() {
-    // All processes are killed at once, and memory is gone. Accounts below their limits would be refused for a whole window,
-    // or one at its limit let in twice; what the store has of the windows is less than a second old.
+fn restarted_processes_resume_from_the_stored_window() {
+    // All processes are killed at once and their memory is lost. Callers below their limits would
+    // be refused for a whole window, or an account at its limit admitted twice; the windows in the
+    // store are less than a second old.
     play(async {
         let mut group = spending_group().await;
 
@@ -149,10 +153,10 @@
 }
 
 #[test]
-fn processes_stay_with_a_collector_that_answers_them() {
-    // Every account is refused for five seconds. At a turn all processes go over to the first by standing; it is gone
-    // for some and sends the others back, and two ledgers share every limit. Only the collector goes over, and takes the
-    // others along.
+fn processes_keep_a_responsive_collector() {
+    // Callers of every account are refused for five seconds. At an election all processes defer to
+    // the first in rank; some find it gone, and it redirects the others back, so that two ledgers
+    // share every limit. Only the collector may defer to another process, and the others follow it.
     play(async {
         let mut group = spending_group().await;
         let mut collectors = Vec::new();
@@ -168,10 +172,11 @@
 }
 
 #[test]
-fn a_collector_that_was_alone_takes_the_ledger_of_the_others() {
-    // Callers of all accounts are refused for a whole window. A process stood still while it collected; when it wakes it
-    // collects for itself alone, and at the next turn the others come back to it with their ledger. It went by its
-    // own, in which they count only once what they let in elsewhere has left the window.
+fn an_isolated_collector_adopts_the_ledger_of_the_others() {
+    // Callers of all accounts are refused for a whole window. A process was suspended while it was
+    // the collector; when it resumes it collects for itself alone, and at the next election the
+    // others return to it with their ledger. If it keeps its own ledger, they count there only once
+    // what they admitted elsewhere has left the window.
     play(async {
         let group = spending_group().await;
         let collector = group.collector();
@@ -197,9 +202,10 @@
 
 #[test]
 fn a_lost_ledger_is_taken_for_what_it_promised_once() {
-    // Callers of all accounts are refused for a window after each loss of the collector. The others come to the next one at
-    // once, and it begins a ledger; its own report to the lost one was under way, gave that ledger away and began
-    // another by what the first had taken for spent.
+    // Callers of all accounts are refused for a window after each loss of the collector. The other
+    // processes report to the next collector at once, and it starts a ledger. Its own report to the
+    // lost collector is still in flight and must not make it give that ledger away and start
+    // another, in which the promises of the first would count as spent.
     play(async {
         for offset in 0..5 {
             let mut group = spending_group().await;
@@ -212,7 +218,7 @@
             let ledgers = ledgers(&group);
             assert_eq!(ledgers.len(), 1, "{ledgers:?}");
             let (spent, told) = (ledgers[0].0, PROCESSES as u64 * TOKENS);
-            // Its burst, the pace of 1.2 s, and what the processes held.
+            // The burst, 1.2 s at the account's rate, and what the processes held.
             let promised = RATE * 3;
             assert!(spent <= told + promised, "{offset}: {ledgers:?}");
         }
--- a/tests/all/limit.rs
+++ b/tests/all/limit.rs
@@ -1,4 +1,4 @@
-//! Limits per client account over several entries.
+//! Limits per client account across several entries.
 
 use oleandertack::kind::{AccountName, ClockTime, InstanceId};
 use oleandertack::limit::{AccountLimits, LimitGate, LimitOwner, LimitVerdict};
@@ -18,8 +18,8 @@
 }
 
 impl EntryGroup {
-    /// One second of `asked` requests at each entry, evenly spaced, then one report each. Returns
-    /// how many passed at each entry.
+    /// Simulates one second of `asked` requests at each entry, evenly spaced, then one report each.
+    /// Returns the number of admitted requests at each entry.
     fn second(&mut self, second: u64, asked: &[u64]) -> Vec<u64> {
         let mut passed = vec![0; self.gates.len()];
         for ms in 0..1000 {
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn three_entries_with_like_demand_below_the_limit_refuse_nothing() {
-    // Callers saw refusals far below their limit. The first entry that reported was given nearly
-    // the whole limit, and the others the rest, until all had reported again.
+fn equal_demand_below_the_limit_is_not_refused() {
+    // Callers are refused far below their limit. The first entry that reports is granted nearly the
+    // whole limit, and the others the rest, until all have reported again.
     let mut group = group(3);
 
     let passed: u64 = (10..20).map(|s| group.second(s, &[60, 60, 60]).iter().sum::<u64>()).sum();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_account_that_asks_for_five_times_its_limit_gets_about_its_limit() {
+fn an_account_at_five_times_its_limit_is_admitted_at_its_limit() {
     let mut group = group(9);
     let asked = [167; 9];
     (10..16).for_each(|second| {
@@ -90,9 +90,9 @@
 }
 
 #[test]
-fn two_owners_at_once_let_at_most_twice_the_limit_through() {
-    // The account's callers get more than the limit for a moment. Half of the entries still report
-    // to the old owner, half to the new one, and each owner grants the whole limit.
+fn two_concurrent_owners_admit_at_most_twice_the_limit() {
+    // An account gets more than its limit for a moment: half of the entries still report to the old
+    // owner, half to the new one, and each owner grants the whole limit.
     let mut left = group(4);
     let mut right = group(4);
     (10..20).for_each(|second| {
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn an_entry_keeps_its_floor_while_others_hold_everything() {
-    // Callers at one entry saw refusals far below their limit. A busy entry and one that just left
-    // held the whole limit between them; the third was granted a thousandth of it.
+fn an_entry_is_granted_its_floor_when_others_hold_the_whole_limit() {
+    // Callers at one entry are refused far below their limit. A busy entry and one that just left
+    // hold the whole limit between them, and the third is granted a thousandth of it.
     let mut owner = LimitOwner::default();
     let account = AccountName::from("tartu");
     let report = |asked| oleandertack::limit::DemandReport { asked, in_flight: 0 };
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -3,7 +3,7 @@
 use crate::roster::{listed, roster_news};
 use oleandertack::call::{AccountRule, CallerBounds, RuleSet};
 use oleandertack::kind::{AccountName, ClockTime, InstanceId, TimeSpan};
-use oleandertack::limit::{HoldClaim, LedgerPast, PoolLedger, PoolLimit};
+use oleandertack::limit::{AllotmentClaim, PoolLedger, PoolLimit, PriorLedger};
 use oleandertack::list::{RosterBook, RosterStand, RosterState, RosterUpdate, VouchNote};
 use oleandertack::mesh::{
     AccountClaim, CollectorFacts, EndpointLoad, EndpointMark, MemberCard, MeshBody, MeshCollector,
@@ -220,7 +220,7 @@
         view: views(3).remove(0),
         collector: MeshCollector::begin(NOW).with_ledger(PoolLedger::begin(
             1,
-            LedgerPast::Nothing,
+            PriorLedger::Absent,
             NOW,
         )),
         rules: RuleSet::new(1, CallerBounds::default()),
@@ -477,11 +477,11 @@
     rig.limit = Some(PoolLimit { rate_per_s: 1e6, burst: 1e6, overshoot: 1e6, window });
     let claim = |number: usize| AccountClaim {
         account: format!("account-{number:02}").as_str().into(),
-        claim: HoldClaim {
+        claim: AllotmentClaim {
             number: 1,
             spent: 3_000_000,
             ceiling: 3_100_000,
-            ..HoldClaim::default()
+            ..AllotmentClaim::default()
         },
     };
     let load = |number: usize| EndpointLoad {
--- a/tests/all/mesh_limits.rs
+++ b/tests/all/mesh_limits.rs
@@ -2,13 +2,14 @@
 
 use crate::mesh::{NOW, TRUE_NOW, report, rig};
 use oleandertack::kind::TimeSpan;
-use oleandertack::limit::{HoldClaim, LedgerBond, PoolAllotment, ToldWindow};
+use oleandertack::limit::{AllotmentClaim, LastLedger, PoolAllotment, ReportedWindow};
 use oleandertack::mesh::{AccountClaim, LimitAsk, MeshBody, NodeReport};
 use oleandertack::wire::encode_frame;
 
 /// What a process says of its one account, after `spent` tokens; it holds nothing.
 fn claims(number: u64, spent: u64, source: u64) -> Option<Vec<AccountClaim>> {
-    let claim = HoldClaim { number, spent, ceiling: spent, source, ..HoldClaim::default() };
+    let claim =
+        AllotmentClaim { number, spent, ceiling: spent, source, ..AllotmentClaim::default() };
     Some(vec![AccountClaim { account: "tartu".into(), claim }])
 }
 
@@ -59,7 +60,7 @@
 /// Asks of processes that are short, and their answers, must not fill the link of a small collector as digests did.
 #[test]
 fn an_ask_for_room_and_its_answer_are_small() {
-    let claim = HoldClaim {
+    let claim = AllotmentClaim {
         number: 1_000,
         spent: 30_000_000,
         ceiling: 30_100_000,
@@ -68,10 +69,10 @@
         pace: 20_000,
     };
     let bond =
-        Some(LedgerBond { source: u64::MAX, left: TimeSpan(600), spent_ago: Some(TimeSpan(100)) });
+        Some(LastLedger { source: u64::MAX, left: TimeSpan(600), spent_ago: Some(TimeSpan(100)) });
     let claim = AccountClaim { account: "account-01".into(), claim };
     let ask = LimitAsk { id: "front-ylemiste-10".into(), life: TRUE_NOW.0, bond, claim };
-    let window = ToldWindow { seconds: vec![1_300_000; 9], open: 3_000_000 };
+    let window = ReportedWindow { seconds: vec![1_300_000; 9], open: 3_000_000 };
     let answer = PoolAllotment {
         number: 1_000,
         ceiling: 30_150_000,
--- a/tests/all/paying.rs
+++ b/tests/all/paying.rs
@@ -39,7 +39,7 @@
 
 fn spent(process: &FrontProcess) -> u64 {
     let limits = process.node.limits.borrow();
-    limits.stands(process.node.clock.lease_now()).map(|(_, stand)| stand.spent).sum()
+    limits.statuses(process.node.clock.lease_now()).map(|(_, stand)| stand.spent).sum()
 }
 
 /// Operators see an account above its limit, by what was answered well: each answered request was paid back, as
--- a/tests/all/pool.rs
+++ b/tests/all/pool.rs
@@ -1,9 +1,9 @@
-//! One window of tokens over many processes, in virtual time.
+//! A token window shared by many processes, in simulated time.
 
 use oleandertack::kind::{AccountName, ClockTime, TimeSpan};
 use oleandertack::limit::{
-    ClaimFault, HoldClaim, KnownWindow, LedgerPast, PoolAllotment, PoolGate, PoolLedger, PoolLimit,
-    PoolSpender, STORED_LASTS, TOLD_LASTS, ToldWindow,
+    AllotmentClaim, AllotmentHolder, ClaimFault, KnownWindow, PROMISE_LIFETIME, PoolAllotment,
+    PoolGate, PoolLedger, PoolLimit, PriorLedger, ReportedWindow, STORED_LIFETIME,
 };
 
 pub const RATE: u64 = 240_000;
@@ -12,7 +12,8 @@
 const WINDOW_MS: u64 = 8000;
 const START: u64 = 1_000_000;
 
-/// The largest account of 64 processes; what operators allow besides is small against it.
+/// The rate of the largest account of 64 processes; the fixed part of the allowed overshoot is
+/// small against it.
 const LARGE_RATE: u64 = 1_350_000;
 
 fn limit(rate: u64) -> PoolLimit {
@@ -22,49 +23,50 @@
     PoolLimit { rate_per_s, burst, overshoot, window }
 }
 
-/// What the operators allow in any window.
+/// The tokens that operators allow in any window.
 pub fn allowed(rate: u64) -> u64 {
     (rate * 8 + rate) * 11 / 10 + 140_000
 }
 
-/// What keeps limits where processes change, and can be left out to show that it is needed.
+/// Mechanisms that keep a limit while processes change. A test disables one to show that it is
+/// needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A ledger takes what was handed out before it for spent.
-    Past,
-    /// A process counts at one ledger at a time.
-    Bond,
-    /// A ledger keeps to what the store has of its promises.
-    StoredPromise,
+    /// A new ledger counts what was granted before it as spent.
+    PriorSpending,
+    /// A process counts as a member of one ledger at a time.
+    MembershipHandover,
+    /// A ledger stays within the promises that the store holds.
+    StorePromise,
 }
 
 struct StoredWindows {
-    windows: Vec<(AccountName, ToldWindow)>,
+    windows: Vec<(AccountName, ReportedWindow)>,
     at: ClockTime,
     source: u64,
 }
 
-/// Processes, their ledger and the callers of one account, in virtual time.
-pub struct Group {
+/// Processes, their ledger and the callers of one account, in simulated time.
+pub struct PoolGroup {
     rate: u64,
     gates: Vec<PoolGate>,
     ledger: PoolLedger,
     /// A second ledger, and the processes that report to it.
-    aside: Option<(PoolLedger, Vec<usize>)>,
-    /// Processes that the ledger does not hear.
+    second_ledger: Option<(PoolLedger, Vec<usize>)>,
+    /// Processes that cannot reach the ledger.
     cut: Vec<usize>,
-    /// How many ledgers there were.
+    /// The number of ledgers started so far.
     ledgers: u64,
-    /// Which life of each process it is.
+    /// The current incarnation of each process.
     lives: Vec<u64>,
-    /// What the store has of the windows.
+    /// The windows that the store holds.
     stored: Option<StoredWindows>,
     /// Whether the store answers.
     pub store_answers: bool,
-    /// What is left out to show that it is needed.
-    pub without: Option<Safeguard>,
+    /// The mechanism that is disabled to show that it is needed.
+    pub disabled: Option<Safeguard>,
     spent: Vec<(u64, u64)>,
-    /// Tokens of the requests, by turns.
+    /// Request sizes in tokens, used in turn.
     pub sizes: &'static [u64],
     asked: u64,
     asked_ledger: u64,
@@ -73,19 +75,19 @@
     now: u64,
 }
 
-/// Processes that have not reported yet.
-pub fn group(count: usize) -> Group {
-    Group {
+/// Creates `count` processes that have not reported yet.
+pub fn group(count: usize) -> PoolGroup {
+    PoolGroup {
         rate: RATE,
         gates: (0..count).map(|_| PoolGate::default()).collect(),
-        ledger: PoolLedger::begin(1, LedgerPast::Nothing, ClockTime(START)),
-        aside: None,
+        ledger: PoolLedger::begin(1, PriorLedger::Absent, ClockTime(START)),
+        second_ledger: None,
         cut: Vec::new(),
         ledgers: 1,
         lives: vec![1; count],
         stored: None,
         store_answers: false,
-        without: None,
+        disabled: None,
         spent: Vec::new(),
         sizes: &[TOKENS],
         asked: 0,
@@ -96,16 +98,17 @@
     }
 }
 
-fn spender(at: usize, life: u64) -> PoolSpender {
-    PoolSpender { instance: format!("front-{at}").as_str().into(), life }
+fn spender(at: usize, life: u64) -> AllotmentHolder {
+    AllotmentHolder { instance: format!("front-{at}").as_str().into(), life }
 }
 
 fn account() -> AccountName {
     AccountName::from("tartu")
 }
 
-impl Group {
-    /// Plays `ms` milliseconds of `times` the rate, spread unevenly over the processes.
+impl PoolGroup {
+    /// Simulates `ms` milliseconds with a demand of `times` the rate, spread unevenly over the
+    /// processes.
     pub fn play(&mut self, ms: u64, times: f64) {
         for _ in 0..ms {
             self.now += 1;
@@ -116,7 +119,7 @@
             }
             self.write_store();
             for at in 0..self.gates.len() {
-                // Reports of different processes come at different moments.
+                // Reports of different processes are sent at different moments.
                 if (self.now + at as u64 * 27).is_multiple_of(REPORT_MS) {
                     self.report(at);
                 }
@@ -132,7 +135,7 @@
         let tokens = self.next_size();
         self.asked += 1;
         let turn = self.asked * self.asked * 7 + self.asked;
-        // A third of all requests come to the first process.
+        // A third of all requests go to the first process.
         let at = if self.asked.is_multiple_of(3) { 0 } else { turn as usize % self.gates.len() };
         if self.lets_in(at, tokens) {
             self.spent.push((self.now, tokens));
@@ -141,7 +144,8 @@
         }
     }
 
-    /// Whether process `at` lets a request in: by its allotment, after a word with the ledger, or by its own part.
+    /// Whether process `at` admits a request: under its allotment, after a claim to the ledger, or
+    /// against its own share.
     fn lets_in(&mut self, at: usize, tokens: u64) -> bool {
         let (now, rate) = (ClockTime(self.now), self.rate);
         let processes = (self.gates.len() as u32, now);
@@ -161,8 +165,8 @@
         self.gates[at].spend(&account(), tokens, now)
     }
 
-    /// The ledger that process `at` reports to answers a claim.
-    fn answer(&mut self, at: usize, claim: &HoldClaim) {
+    /// Lets the ledger that process `at` reports to answer a claim.
+    fn answer(&mut self, at: usize, claim: &AllotmentClaim) {
         let now = ClockTime(self.now);
         let serving = self.gates.len() as u32;
         let spender = spender(at, self.lives[at]);
@@ -174,14 +178,15 @@
 
     fn note_member(&mut self, at: usize) {
         let now = ClockTime(self.now);
-        let bond = self.gates[at].bond(now).filter(|_| !self.is_without(Safeguard::Bond));
+        let bond =
+            self.gates[at].bond(now).filter(|_| !self.is_disabled(Safeguard::MembershipHandover));
         let length = limit(self.rate).length();
         let id = spender(at, self.lives[at]).instance;
         self.ledger_of(at).note_member(&id, bond, (length, now));
     }
 
     fn ledger_of(&mut self, at: usize) -> &mut PoolLedger {
-        match &mut self.aside {
+        match &mut self.second_ledger {
             Some((ledger, reporters)) if reporters.contains(&at) => ledger,
             _ => &mut self.ledger,
         }
@@ -193,105 +198,106 @@
         }
         let now = ClockTime(self.now);
         self.note_member(at);
-        // A ledger hands out to every process, also to one that let nothing in.
+        // A ledger grants allotments to every process, including those that admitted nothing.
         let claim = self.gates[at].claim(&account(), 0, now);
         self.answer(at, &claim);
     }
 
-    /// Another process takes the ledger over.
+    /// Starts a new ledger at another process.
     pub fn change_ledger(&mut self) {
         self.ledger = self.next_ledger(1);
     }
 
-    /// A ledger that begins at process `at`.
+    /// A ledger that starts at process `at`.
     fn next_ledger(&mut self, at: usize) -> PoolLedger {
         let windows = self.gates[at].known_windows(ClockTime(self.now));
-        self.new_ledger(LedgerPast::Told { windows, lasts: TOLD_LASTS })
+        self.new_ledger(PriorLedger::Reported { windows, lasts: PROMISE_LIFETIME })
     }
 
-    fn new_ledger(&mut self, past: LedgerPast) -> PoolLedger {
-        let past = if self.is_without(Safeguard::Past) { LedgerPast::Nothing } else { past };
+    fn new_ledger(&mut self, past: PriorLedger) -> PoolLedger {
+        let past =
+            if self.is_disabled(Safeguard::PriorSpending) { PriorLedger::Absent } else { past };
         self.ledgers += 1;
         PoolLedger::begin(self.ledgers, past, ClockTime(self.now))
     }
 
-    fn is_without(&self, safeguard: Safeguard) -> bool {
-        self.without == Some(safeguard)
+    fn is_disabled(&self, safeguard: Safeguard) -> bool {
+        self.disabled == Some(safeguard)
     }
 
-    /// The ledger ends in order, and the next one gets what it knows.
+    /// Ends the ledger in order and passes its state to the next one.
     pub fn hand_over(&mut self) {
         let known = self.ledger.hand_over(ClockTime(self.now));
-        self.ledger = self.new_ledger(LedgerPast::Handed(known));
+        self.ledger = self.new_ledger(PriorLedger::HandedOver(known));
     }
 
-    /// The process with the ledger is killed and begins anew; process `next` takes the ledger over.
+    /// Kills and restarts the process with the ledger; process `next` starts a new ledger.
     pub fn kill_ledger(&mut self, killed: usize, next: usize) {
         self.ledger = self.next_ledger(next);
-        self.begin_anew_at(killed);
+        self.restart(killed);
     }
 
-    fn begin_anew_at(&mut self, at: usize) {
+    fn restart(&mut self, at: usize) {
         self.gates[at] = PoolGate::default();
         self.lives[at] += 1;
     }
 
-    /// A part of the processes is cut off from the others, and one of them begins a ledger for them.
+    /// Partitions some processes from the others; the first of them starts a ledger for them.
     pub fn split(&mut self, reporters: Vec<usize>) {
         let ledger = self.next_ledger(reporters[0]);
-        self.aside = Some((ledger, reporters));
+        self.second_ledger = Some((ledger, reporters));
     }
 
-    /// The cut heals, and all report to the first ledger again.
+    /// Heals the partition: all processes report to the first ledger again.
     pub fn join(&mut self) {
-        self.aside = None;
+        self.second_ledger = None;
     }
 
-    /// Nobody answers some processes.
+    /// Isolates some processes from the ledger.
     pub fn cut_off(&mut self, cut: Vec<usize>) {
         self.cut = cut;
     }
 
-    /// All processes begin anew, without a memory.
-    pub fn begin_anew(&mut self) {
-        (0..self.gates.len()).for_each(|at| self.begin_anew_at(at));
-        self.aside = None;
+    /// Restarts all processes with empty memory; the new ledger starts from the store.
+    pub fn restart_all(&mut self) {
+        (0..self.gates.len()).for_each(|at| self.restart(at));
+        self.second_ledger = None;
         let now = ClockTime(self.now);
         let known = self.stored.iter().flat_map(|stored| {
             let (age, source) = (now - stored.at, stored.source);
-            stored.windows.iter().map(move |(name, told)| {
-                (name.clone(), KnownWindow { told: told.clone(), age, source })
+            stored.windows.iter().map(move |(name, reported)| {
+                (name.clone(), KnownWindow { reported: reported.clone(), age, source })
             })
         });
         let windows = known.collect();
-        self.ledger = self.new_ledger(LedgerPast::Told { windows, lasts: STORED_LASTS });
+        self.ledger = self.new_ledger(PriorLedger::Reported { windows, lasts: STORED_LIFETIME });
     }
 
-    /// Time in which no process has power.
-    pub fn stay_dark(&mut self, ms: u64) {
+    /// Advances the time by `ms` while no process runs.
+    pub fn power_off(&mut self, ms: u64) {
         self.now += ms;
     }
 
     fn write_store(&mut self) {
-        /// Between two writes.
+        /// The interval between two writes.
         const WRITE_MS: u64 = 500;
         if !self.store_answers || !self.now.is_multiple_of(WRITE_MS) {
             return;
         }
         let now = ClockTime(self.now);
-        let (windows, promises) = self.ledger.to_store(now);
+        let (windows, promises) = self.ledger.export_windows(now);
         self.stored = Some(StoredWindows { windows, at: now, source: self.ledger.source() });
-        if !self.is_without(Safeguard::StoredPromise) {
+        if !self.is_disabled(Safeguard::StorePromise) {
             self.ledger.note_stored(promises, now);
         }
     }
 
-    /// The most that was let in during any window.
+    /// The most tokens admitted in any window.
     pub fn worst_window(&self) -> u64 {
         self.worst_window_since(0)
     }
 
-    /// The same of the windows that began at `since` or later.
+    /// The most tokens admitted in any window that began at `since` or later.
     fn worst_window_since(&self, since: u64) -> u64 {
         let in_window = |from: u64| {
             let inside = self.spent.iter().filter(|(at, _)| (from..from + WINDOW_MS).contains(at));
@@ -303,9 +309,10 @@
 }
 
 #[test]
-fn an_account_below_its_limit_is_refused_nothing() {
-    // Callers of an account at 60 % of its limit see refusals: equal shares are too small where
-    // connections are spread unevenly, or a new ledger takes the window for spent.
+fn an_account_below_its_limit_is_not_refused() {
+    // Callers of an account at 60 % of its limit are refused because equal shares are too small
+    // where connections are spread unevenly, or because a new ledger assumes that the window is
+    // spent.
     let mut group = group(9);
 
     group.play(20_000, 0.6);
@@ -314,9 +321,9 @@
 }
 
 #[test]
-fn a_sudden_demand_of_four_times_the_rate_stays_within_what_operators_allow() {
-    // One account sends 7.5 times its usual, 4.2 times its rate. Before the processes hear of one
-    // another's spending they let in what each thinks is left.
+fn a_demand_spike_stays_within_the_allowed_overshoot() {
+    // One account's demand rises to 7.5 times its usual, 4.2 times its rate. Until the processes
+    // learn of one another's spending, each admits what it believes is left.
     let mut group = group(9);
     group.play(10_000, 0.55);
 
@@ -324,21 +331,21 @@
 
     let worst = group.worst_window();
     assert!(worst <= allowed(RATE), "{worst} of {}", allowed(RATE));
-    // And it is not starved: it gets most of its limit.
+    // It is not starved either: it gets most of its limit.
     assert!(worst >= RATE * 8, "{worst}");
 }
 
 #[test]
-fn a_new_ledger_counts_what_the_last_one_did_not() {
-    // The process with the ledger dies while an account is at its limit. What was let in between
-    // its last news and the successor's first was once counted by nobody: 20 % too much.
+fn a_new_ledger_counts_spending_unreported_to_the_previous_one() {
+    // The process with the ledger dies while an account is at its limit. If nobody counts what is
+    // admitted between its last report and the successor's first, the excess is 20 %.
     let mut group = group(9);
     group.play(9_000, 0.55);
     group.play(1_000, 4.2);
 
-    // Spending was not even: the last second holds as much as four before it.
+    // Spending is uneven: the last second holds as much as the four before it.
     for _ in 0..3 {
-        // 600 ms without a ledger, then another.
+        // 600 ms without a ledger, then a new one.
         let all: Vec<usize> = (0..9).collect();
         group.cut = all;
         group.play(600, 4.2);
@@ -352,9 +359,9 @@
 }
 
 #[test]
-fn processes_that_are_cut_off_use_their_own_part_only() {
-    // Three of nine processes lose the others. They go on by equal shares, and the ledger gives out
-    // only the part of those it hears.
+fn isolated_processes_use_only_their_own_share() {
+    // Three of nine processes are partitioned from the others. They continue on equal shares, and
+    // the ledger grants only the part of the processes that reach it.
     let mut group = group(9);
     group.play(9_000, 0.55);
     group.cut = vec![3, 5, 7];
@@ -366,28 +373,29 @@
 }
 
 #[test]
-fn after_all_processes_began_anew_a_window_is_not_given_twice() {
-    // All processes are killed at once while an account is at its limit, and are back a second
-    // later without a memory.
+fn a_restart_of_all_processes_does_not_reset_the_window() {
+    // All processes are killed at once while an account is at its limit, and restart a second later
+    // with empty memory.
     let mut group = group(9);
     group.play(9_000, 0.55);
     group.play(4_000, 4.2);
 
     group.now += 1_500;
-    group.begin_anew();
+    group.restart_all();
     group.play(10_000, 4.2);
 
     let worst = group.worst_window();
     assert!(worst <= allowed(RATE), "{worst} of {}", allowed(RATE));
 }
 
-/// An account jumps to 4.2 times its limit, and three seconds later a process takes the ledger over
-/// that has let in no request of that account. It was never told of the window, took it for spent
-/// evenly, and gave out again what had been let in at the jump: 2 % beyond what operators allow.
+/// An account jumps to 4.2 times its limit, and three seconds later a new ledger starts at a
+/// process that admitted no request of that account. If that process was never sent the window, its
+/// ledger assumes that it was spent evenly and grants the tokens of the jump again: 2 % more than
+/// operators allow.
 #[test]
-fn a_new_ledger_knows_windows_of_accounts_that_its_process_let_nothing_in_of() {
+fn a_new_ledger_knows_windows_of_accounts_its_process_never_admitted() {
     for offset in (0..1000).step_by(250) {
-        let mut group = Group { rate: LARGE_RATE, ..group(64) };
+        let mut group = PoolGroup { rate: LARGE_RATE, ..group(64) };
         group.play(9_000, 0.55);
         group.play(3_000 + offset, 4.2);
 
@@ -399,52 +407,54 @@
     }
 }
 
-/// Callers of every account are refused for a whole window although none is near its limit. Half of the
-/// processes went by another ledger for 20 s; when they came back, the first one took all they had let
-/// in since it last heard them for spent just now.
+/// Callers of every account are refused for a whole window although none is near its limit. Half of
+/// the processes used another ledger for 20 s; when they return, the first ledger counts all they
+/// admitted since their last report to it as spent just now.
 #[test]
-fn processes_that_return_from_another_ledger_are_not_taken_to_have_spent_all_at_once() {
+fn spending_under_another_ledger_is_not_counted_as_one_burst() {
     let mut group = group(9);
     group.play(10_000, 0.5);
     let other = group.next_ledger(0);
-    group.aside = Some((other, vec![0, 2, 4, 6]));
+    group.second_ledger = Some((other, vec![0, 2, 4, 6]));
     group.play(20_000, 0.5);
     let before = group.refused;
 
-    group.aside = None;
+    group.second_ledger = None;
     group.play(10_000, 0.5);
 
     assert_eq!(group.refused, before);
 }
 
-/// The same while the account presses: what was counted elsewhere counts here as well.
+/// The same with a demand above the limit: what was counted by the other ledger counts in this one
+/// as well.
 #[test]
-fn processes_that_return_from_another_ledger_have_not_spent_nothing() {
+fn spending_under_another_ledger_is_not_ignored() {
     let mut group = group(9);
     group.play(10_000, 0.55);
     let other = group.next_ledger(0);
-    group.aside = Some((other, vec![0, 2, 4, 6]));
+    group.second_ledger = Some((other, vec![0, 2, 4, 6]));
     group.play(12_000, 0.5);
 
-    group.aside = None;
+    group.second_ledger = None;
     group.play(10_000, 4.2);
 
     let worst = group.worst_window();
     assert!(worst <= allowed(RATE), "{worst} of {}", allowed(RATE));
 }
 
-/// Operators see an account 1 % above what they allow. It jumps to 4.2 times its limit, and a second later
-/// all processes are killed at once. What they let in lies in their memory alone; the next ledger takes the
-/// window for spent evenly, and gives the jump's room out again before it has left the window.
+/// An account gets 1 % more than operators allow. It jumps to 4.2 times its limit, and a second
+/// later all processes are killed at once. What they admitted is in their memory only; the next
+/// ledger assumes that the window was spent evenly, and grants the tokens of the jump again before
+/// they have left the window.
 #[test]
-fn a_jump_right_before_all_processes_began_anew_is_not_forgotten() {
+fn a_spike_before_a_restart_of_all_processes_is_counted() {
     for pressed in [1_500, 1_000] {
         let mut group = group(9);
         group.play(9_000, 0.55);
         group.play(pressed, 4.2);
 
         group.now += 500;
-        group.begin_anew();
+        group.restart_all();
         group.play(10_000, 4.2);
 
         let worst = group.worst_window();
@@ -452,18 +462,19 @@
     }
 }
 
-/// Tokens of requests as callers mix them: most are short, one in sixteen is very long.
+/// Request sizes in tokens as callers mix them: most are short, one in sixteen is very long.
 pub const MIXED_SIZES: &[u64] =
     &[200, 900, 1700, 200, 2600, 5400, 700, 200, 12_000, 1200, 400, 3300, 200, 800, 7200, 47_000];
 
-/// Operators see an account above what they allow, although nothing fails. It sends many times its usual; all
-/// processes refuse it after some three seconds. Each was handed the whole room, for a demand that was forecast;
-/// after a second in which all were refused nobody seems to spend, and each is handed all that leaves the window.
+/// An account gets more than operators allow, although nothing fails. Its demand jumps, and after
+/// some three seconds all processes refuse it. Each was granted the whole free capacity for a
+/// forecast demand; after a second in which all requests were refused no process seems to spend,
+/// and each is granted all that leaves the window.
 #[test]
-fn an_account_that_jumps_by_any_factor_stays_within_what_operators_allow() {
+fn a_spike_by_any_factor_stays_within_the_allowed_overshoot() {
     for (processes, rate) in [(8, RATE), (87, RATE), (87, LARGE_RATE), (195, LARGE_RATE)] {
         for times in [3.0, 5.5, 16.5] {
-            let mut group = Group { rate, sizes: MIXED_SIZES, ..group(processes) };
+            let mut group = PoolGroup { rate, sizes: MIXED_SIZES, ..group(processes) };
             group.play(9_000, 0.55);
 
             group.play(15_000, times);
@@ -474,12 +485,13 @@
     }
 }
 
-/// Operators lower an account's limit to a twentieth. What processes hold by the old one, more than the new one lets come in
-/// a window, must not last: a holder keeps what it uses between two reports.
+/// Operators lower an account's limit to a twentieth. What processes hold under the old limit,
+/// which is more than the new one allows in a window, must not last: a holder keeps only what it
+/// uses between two reports.
 #[test]
-fn a_lowered_limit_binds_as_soon_as_allotments_end() {
+fn a_lowered_limit_applies_once_allotments_expire() {
     for processes in [8, 87] {
-        let mut group = Group { sizes: MIXED_SIZES, ..group(processes) };
+        let mut group = PoolGroup { sizes: MIXED_SIZES, ..group(processes) };
         group.play(12_000, 0.3);
 
         group.rate = RATE / 20;
@@ -492,13 +504,14 @@
     }
 }
 
-/// An account that was idle sends what its burst lets come at once; none of it is refused, and its limit is used to the
-/// end while it presses. Refusing everybody would keep any limit.
+/// An account that was idle spends its allowed burst at once and is refused nothing, and under
+/// demand above its limit it can use the whole limit. A limiter that refuses everything would keep
+/// any limit.
 #[test]
-fn an_account_gets_what_it_is_owed() {
+fn an_account_can_use_its_whole_limit() {
     for (processes, rate) in [(8, RATE), (87, RATE), (87, LARGE_RATE), (195, LARGE_RATE)] {
         for times in [0.5, 0.8, 3.0, 16.5] {
-            let mut group = Group { rate, sizes: MIXED_SIZES, ..group(processes) };
+            let mut group = PoolGroup { rate, sizes: MIXED_SIZES, ..group(processes) };
             group.play(9_000, 0.55);
             let (refused, before) = (group.refused, group.spent.len());
 
@@ -513,9 +526,9 @@
     }
 }
 
-/// An allotment ends for its holder when it does for the ledger, whatever reports are lost.
+/// An allotment expires at its holder when it does at the ledger, whatever reports are lost.
 #[test]
-fn an_allotment_ends_and_late_answers_are_not_taken() {
+fn an_allotment_expires_and_late_answers_are_ignored() {
     let now = ClockTime(START);
     let mut gate = PoolGate::default();
     let claim = gate.claim(&account(), 0, now);
@@ -525,30 +538,35 @@
 
     assert!(gate.spend(&account(), 1_000, now + TimeSpan(599)));
     assert!(!gate.spend(&account(), 1_000, now + TimeSpan(600)));
-    // The answer to an earlier claim comes after the next claim was made.
+    // The answer to an earlier claim arrives after the next claim was made.
     gate.claim(&account(), 0, now + TimeSpan(700));
     gate.take(&account(), answer, (now + TimeSpan(700), now + TimeSpan(701)));
     assert!(!gate.spend(&account(), 1_000, now + TimeSpan(702)));
 }
 
-/// Claims that come late, or name more than was handed out, get no answer and change nothing.
+/// Claims that are stale, or exceed what was granted, are rejected and change nothing.
 #[test]
-fn claims_that_cannot_be_true_are_left_out() {
+fn stale_and_impossible_claims_are_rejected() {
     let now = ClockTime(START);
-    let mut ledger = PoolLedger::begin(1, LedgerPast::Nothing, now);
+    let mut ledger = PoolLedger::begin(1, PriorLedger::Absent, now);
     let spender = spender(0, 1);
     ledger.note_member(&spender.instance, None, (limit(RATE).length(), now));
-    let mut ask = |claim: HoldClaim| {
+    let mut ask = |claim: AllotmentClaim| {
         let known = (&limit(RATE), 1);
         ledger.claim(&account(), known, (&spender, &claim), now)
     };
-    let first = ask(HoldClaim { number: 5, ..HoldClaim::default() }).expect("it is the first");
+    let first =
+        ask(AllotmentClaim { number: 5, ..AllotmentClaim::default() }).expect("it is the first");
 
-    let late = ask(HoldClaim { number: 4, ..HoldClaim::default() });
+    let late = ask(AllotmentClaim { number: 4, ..AllotmentClaim::default() });
     let false_ceiling = first.ceiling + 1;
-    let too_much =
-        ask(HoldClaim { number: 6, ceiling: false_ceiling, source: 1, ..HoldClaim::default() });
-    let again = ask(HoldClaim { number: 6, source: 1, ..HoldClaim::default() });
+    let too_much = ask(AllotmentClaim {
+        number: 6,
+        ceiling: false_ceiling,
+        source: 1,
+        ..AllotmentClaim::default()
+    });
+    let again = ask(AllotmentClaim { number: 6, source: 1, ..AllotmentClaim::default() });
 
     assert_eq!(late, Err(ClaimFault::Late));
     assert_eq!(too_much, Err(ClaimFault::Impossible));
--- a/tests/all/rates.rs
+++ b/tests/all/rates.rs
@@ -1,29 +1,30 @@
-//! Rates of limited endpoints over many processes, as pure plays: reports that are lost, collectors that change, cuts.
+//! Request rates of limited endpoints across many processes, simulated with report loss, changes of
+//! the collector and network partitions.
 
 use crate::seeds::seeds;
 use arbtest::arbtest;
 use oleandertack::kind::{ClockTime, InstanceId, RequestRate, ServiceName, TimeSpan};
-use oleandertack::limit::pool::ALLOT_TIME;
-use oleandertack::limit::{RateBucket, RateDesk, RateKey, RatedEndpoint, own_part};
+use oleandertack::limit::pool::ALLOTMENT_LIFETIME;
+use oleandertack::limit::{LimitedEndpoint, RateAllocator, RateBucket, RateKey, own_share};
 
 const STEP: TimeSpan = TimeSpan(10);
 const REPORT_PERIOD: u64 = 250;
 const START: u64 = 1_000_000;
-/// The operators count over this time, in milliseconds.
+/// The window over which operators count, in milliseconds.
 const COUNTED: u64 = 4000;
 
-/// A safeguard that a play does without.
+/// A mechanism that a simulation disables to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RateSafeguard {
-    /// A side of a cut hands out the part of its own processes.
+    /// Each side of a partition allocates only the part of its own processes.
     Part,
-    /// A lease ends.
+    /// A lease expires.
     End,
-    /// Few processes hold a rate.
+    /// Only a few processes hold leases on a rate.
     FewHolders,
 }
 
-/// What a play does with its processes.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 struct RatePlan {
     processes: usize,
@@ -32,11 +33,13 @@
     lost: u64,
     /// Requests for the endpoint's service at each process, a second.
     asked_per_s: f64,
-    /// Between two ends of a collector, in milliseconds; 0 for none. The next one begins without a word.
+    /// Milliseconds between two crashes of the collector; 0 for none. The next collector starts
+    /// without any state.
     collector_lasts: u64,
-    /// Whether half of the processes report to a collector of their own from the fourth to the twelfth second.
+    /// Whether half of the processes report to a collector of their own from the fourth to the
+    /// twelfth second.
     cut: bool,
-    without: Option<RateSafeguard>,
+    disabled: Option<RateSafeguard>,
 }
 
 const CALM: RatePlan = RatePlan {
@@ -46,10 +49,10 @@
     asked_per_s: 20.0,
     collector_lasts: 0,
     cut: false,
-    without: None,
+    disabled: None,
 };
 
-/// Sends at the endpoint, in milliseconds since the start.
+/// The times at which requests are sent to the endpoint, in milliseconds since the start.
 fn sends(plan: RatePlan, lasts: u64, mut draw: impl FnMut(u64) -> u64) -> Vec<u64> {
     let service = ServiceName::from("s");
     let names: Vec<InstanceId> =
@@ -57,13 +60,13 @@
     let key = RateKey::of(&"p-0".into(), 7);
     let rate = RequestRate::per_second(plan.per_s);
     let mut buckets = vec![RateBucket::default(); plan.processes];
-    let mut desks = [RateDesk::default(), RateDesk::default()];
+    let mut desks = [RateAllocator::default(), RateAllocator::default()];
     let mut asked_at = vec![0; plan.processes];
     let mut sent = Vec::new();
     for ms in (0..lasts).step_by(STEP.0 as usize) {
         let now = ClockTime(START + ms);
         if plan.collector_lasts > 0 && ms % plan.collector_lasts == 0 {
-            desks = [RateDesk::default(), RateDesk::default()];
+            desks = [RateAllocator::default(), RateAllocator::default()];
         }
         let is_cut = plan.cut && (4000..12_000).contains(&ms);
         for (at, name) in names.iter().enumerate() {
@@ -71,30 +74,30 @@
             if reports && draw(1000) >= plan.lost {
                 let desk = &mut desks[usize::from(is_cut && at % 2 == 1)];
                 desk.note_member(name, [&service].into_iter(), now);
-                let endpoint = RatedEndpoint { key, service: &service, rate };
+                let endpoint = LimitedEndpoint { key, service: &service, rate };
                 let here = if is_cut { plan.processes.div_ceil(2) } else { plan.processes };
-                let lacks_part = plan.without == Some(RateSafeguard::Part);
+                let lacks_part = plan.disabled == Some(RateSafeguard::Part);
                 let serving = if lacks_part { here } else { plan.processes };
-                let lease = match plan.without {
+                let lease = match plan.disabled {
                     Some(RateSafeguard::FewHolders) => Some(plan.per_s / plan.processes as f64),
                     _ => desk.lease(name, endpoint, (desk.part(serving as u32, now), now)),
                 };
                 let is_answered = draw(1000) >= plan.lost;
-                if is_answered && desk.hands_out(now) {
+                if is_answered && desk.grants_leases(now) {
                     asked_at[at] = ms;
                 }
                 if let Some(per_s) = lease.filter(|_| is_answered) {
                     buckets[at].renew(per_s, (now, now));
                 }
             }
-            let is_left = ms >= asked_at[at] + ALLOT_TIME.0;
+            let is_left = ms >= asked_at[at] + ALLOTMENT_LIFETIME.0;
             if is_left
                 && ms % REPORT_PERIOD == 0
-                && let Some(per_s) = own_part(rate, plan.processes as u32)
+                && let Some(per_s) = own_share(rate, plan.processes as u32)
             {
                 buckets[at].renew(per_s, (now, now));
             }
-            if plan.without == Some(RateSafeguard::End)
+            if plan.disabled == Some(RateSafeguard::End)
                 && let Some(per_s) = buckets[at].per_s(now).filter(|per_s| *per_s > 0.0)
             {
                 buckets[at].renew(per_s, (now, now));
@@ -122,9 +125,10 @@
     }
 }
 
-/// An endpoint gets more than it takes, or much less, because of the number of processes that share its rate.
+/// An endpoint receives more than it accepts, or much less, depending on the number of processes
+/// that share its rate.
 #[test]
-fn a_rate_is_kept_and_used_at_nine_sixty_and_more_processes() {
+fn a_rate_is_kept_and_used_whatever_the_process_count() {
     for processes in [9, 60, 195] {
         for seed in seeds(5) {
             let per_s = [0.3, 1.0, 2.8, 10.0, 50.0][seed as usize % 5];
@@ -141,10 +145,10 @@
     }
 }
 
-/// An endpoint gets more than the operators allow: reports and answers are lost, collectors end without a word, and the
-/// processes are cut in two.
+/// An endpoint receives more than operators allow when reports and answers are lost, collectors
+/// crash, and the network is partitioned.
 #[test]
-fn a_rate_holds_whatever_is_lost_and_whoever_collects() {
+fn a_rate_holds_under_message_loss_and_collector_changes() {
     arbtest(|u| {
         let plan = RatePlan {
             processes: u.int_in_range(1..=40)?,
@@ -153,7 +157,7 @@
             asked_per_s: f64::from(u.int_in_range(1_u32..=30)?),
             collector_lasts: u.int_in_range(0..=5)? * 1500,
             cut: u.arbitrary()?,
-            without: None,
+            disabled: None,
         };
         let seed: u64 = u.arbitrary()?;
 
@@ -166,9 +170,10 @@
     });
 }
 
-/// The same at a low rate: holders change while half of the reports are lost, in a cut, and each brings a request of its own.
+/// The same at a low rate: lease holders change during a partition while half of the reports are
+/// lost, and each new holder adds a request of its own.
 #[test]
-fn a_low_rate_holds_while_its_holders_change() {
+fn a_low_rate_holds_while_lease_holders_change() {
     let plan = RatePlan {
         processes: 23,
         per_s: 0.4,
@@ -176,7 +181,7 @@
         asked_per_s: 17.0,
         collector_lasts: 7500,
         cut: true,
-        without: None,
+        disabled: None,
     };
 
     let sent = sends(plan, 20_000, seeded(18_273_252_276_814_811_764));
@@ -184,9 +189,9 @@
     assert!(most_in_window(&sent) <= 7, "{}", most_in_window(&sent));
 }
 
-/// A safeguard is taken out, and no play shows what it is for.
+/// A mechanism can be disabled without any simulation showing what it is for.
 #[test]
-fn a_rate_is_passed_without_any_one_of_its_safeguards() {
+fn a_rate_is_exceeded_without_any_one_of_its_safeguards() {
     let passes = |plan: RatePlan| {
         let most = most_in_window(&sends(plan, 60_000, seeded(9))) as f64;
         most > 1.5 * 4.0 * plan.per_s + 5.0
@@ -194,16 +199,17 @@
     let cut = RatePlan { processes: 40, per_s: 20.0, cut: true, ..CALM };
     let losing = RatePlan { processes: 100, lost: 300, ..cut };
     let large = RatePlan { processes: 195, ..CALM };
-    let off = |plan, safeguard| RatePlan { without: Some(safeguard), ..plan };
+    let off = |plan, safeguard| RatePlan { disabled: Some(safeguard), ..plan };
 
     assert!(!passes(cut) && passes(off(cut, RateSafeguard::Part)));
     assert!(!passes(losing) && passes(off(losing, RateSafeguard::End)));
     assert!(!passes(large) && passes(off(large, RateSafeguard::FewHolders)));
 }
 
-/// An endpoint gets what was gained while it was not asked, all at once, from a process whose lease ended meanwhile.
+/// A process whose lease expired sends in one burst what accumulated while the endpoint was not in
+/// use.
 #[test]
-fn nothing_is_gained_without_a_lease() {
+fn a_bucket_fills_only_while_its_lease_is_valid() {
     let at = |ms| ClockTime(START + ms);
     let mut bucket = RateBucket::default();
     bucket.renew(2.0, (at(0), at(0)));
--- a/tests/all/release.rs
+++ b/tests/all/release.rs
@@ -6,7 +6,7 @@
 use oleandertack::judge::{AnswerSample, EvidenceTally};
 use oleandertack::kind::hash::mix_bits;
 use oleandertack::kind::{ClockTime, InstanceId, ServiceName, TimeSpan};
-use oleandertack::limit::{LedgerPast, PoolGate, PoolLedger, PoolSpender};
+use oleandertack::limit::{AllotmentHolder, PoolGate, PoolLedger, PriorLedger};
 use oleandertack::release::{
     ExposureBounds, ListedVersion, PlanFacts, PlanReason, ReleaseBook, ReleaseNews, ReleaseOrder,
     ReleasePlan, ReleaseStage, ReleaseTold, RequestLane, TRIED_HELD, ToldStage, exposure_account,
@@ -124,7 +124,7 @@
         self.ledger.note_member(&one.id, bond, (TimeSpan(60_400), now));
         let limit = exposure_limit(self.plan.most(self.sent));
         let claim = one.gate.claim(&account, TRIED_HELD, now);
-        let spender = PoolSpender { instance: one.id.clone(), life: 1 };
+        let spender = AllotmentHolder { instance: one.id.clone(), life: 1 };
         let known = (&limit, processes as u32);
         if let Ok(allotment) = self.ledger.claim(&account, known, (&spender, &claim), now) {
             one.gate.take(&account, allotment, (now, now));
@@ -208,7 +208,7 @@
             rate: 0.0,
             acked: BTreeMap::new(),
         };
-        let mut collector = begin(None, LedgerPast::Nothing, 1, START);
+        let mut collector = begin(None, PriorLedger::Absent, 1, START);
         let mut running: Vec<Running> = Vec::new();
         let trials = (self.endpoints as f64 * SHARE).ceil().max(3.0) as usize;
         for ms in 0..ORDER_MS + 6000 {
@@ -216,7 +216,7 @@
             if ms == 4000 && self.trouble == Trouble::CollectorKilled {
                 let told = processes[1].book.news(now).told;
                 let windows = processes[1].gate.known_windows(now);
-                let past = LedgerPast::Told { windows, lasts: TimeSpan(1200) };
+                let past = PriorLedger::Reported { windows, lasts: TimeSpan(1200) };
                 collector = begin(told.first(), past, 2, now);
             }
             let times =
