--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -11,7 +11,9 @@
 use oleander_kind::TimeSpan;
 use oleander_outlet::{IdleLink, LinkError, SentLink, SocketBounds};
 use oleander_pace::ReadSample;
-use oleander_place::{AnswerGrade, EndpointFact, EndpointKey, PlaceChoice, expected_first};
+use oleander_place::{
+    AnswerGrade, EndpointFact, EndpointKey, PlacementChoice, expected_first_byte,
+};
 use oleander_suspect::{BrokenTimes, EndedLife};
 use std::io;
 use std::net::SocketAddr;
@@ -43,8 +45,8 @@
 
 impl CallRun<'_, '_> {
     /// Makes an attempt at the endpoint chosen.
-    pub async fn attempt(&mut self, choice: PlaceChoice) -> AttemptOutcome {
-        let Some(target) = self.target(choice.key).filter(|_| self.take_turn(choice.key)) else {
+    pub async fn attempt(&mut self, choice: PlacementChoice) -> AttemptOutcome {
+        let Some(target) = self.target(choice.key).filter(|_| self.try_acquire(choice.key)) else {
             return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
         };
         self.current = Some(target.key);
@@ -99,9 +101,9 @@
         suspects::note_broken(self.node, self.print, broken);
     }
 
-    fn first_wait(&self, choice: &PlaceChoice) -> FirstWait {
+    fn first_wait(&self, choice: &PlacementChoice) -> FirstWait {
         let read_per_ms = self.node.read_per_ms(&self.service);
-        let expected = expected_first(choice, self.is_engine(), read_per_ms);
+        let expected = expected_first_byte(choice, self.is_engine(), read_per_ms);
         FirstWait { expected, objective: self.route().objective }
     }
 
@@ -167,10 +169,10 @@
     }
 
     /// Takes this process's next request of a limited endpoint; says whether there is one.
-    fn take_turn(&self, key: EndpointKey) -> bool {
+    fn try_acquire(&self, key: EndpointKey) -> bool {
         let now = self.node.clock.lease_now();
         let mut board = self.node.endpoints.borrow_mut();
-        board.get_mut(key).is_some_and(|fact| fact.said.take_turn(now))
+        board.get_mut(key).is_some_and(|fact| fact.declared.try_acquire(now))
     }
 
     async fn attempt_at(&mut self, target: &AttemptTarget, work: &mut WorkGuard) -> AttemptOutcome {
@@ -353,8 +355,8 @@
         // A connection to a life that has ended since is of no use to the next one.
         let lives = self.node.endpoints.borrow().get(target.key).is_some();
         if let Some(link) = link.filter(|_| lives) {
-            let said = mark.keeps_idle.map(|span| span.duration().mul_f64(IDLE_PART));
-            let keep = said.unwrap_or(IDLE_KEPT);
+            let declared = mark.keeps_idle.map(|span| span.duration().mul_f64(IDLE_PART));
+            let keep = declared.unwrap_or(IDLE_KEPT);
             self.node.pool.borrow_mut().put(&target.life.instance, link, keep, IDLE_MOST);
         }
         outcome
--- a/crates/front/src/closed.rs
+++ b/crates/front/src/closed.rs
@@ -6,7 +6,7 @@
 use crate::drive::{CallOutcome, CallRun, call_salt};
 use crate::events::event;
 use oleander_kind::{ResultCode, TimeSpan};
-use oleander_place::{OwnWords, opens_in};
+use oleander_place::{EndpointSignals, available_in};
 
 /// The shortest time after which a caller may come back whom what endpoints said of themselves had refused.
 const SHORTEST_OPENING: TimeSpan = TimeSpan(100);
@@ -18,7 +18,7 @@
 impl CallRun<'_, '_> {
     /// Refuses a request that no endpoint may be sent now.
     pub(crate) async fn refuse_unplaced(&mut self) -> CallOutcome {
-        match self.opens_in() {
+        match self.available_in() {
             Some(back_in) if self.is_refusable() => {
                 self.tell_closed(back_in);
                 if self.record.sent() == 0 {
@@ -39,15 +39,15 @@
         let board = self.node.endpoints.borrow();
         let keys = board.of_service(&self.service).iter();
         let facts: Vec<_> = keys.filter_map(|key| board.get(*key)).collect();
-        let count = |holds: &dyn Fn(&OwnWords) -> bool| {
-            facts.iter().filter(|fact| holds(&fact.said)).count()
+        let count = |holds: &dyn Fn(&EndpointSignals) -> bool| {
+            facts.iter().filter(|fact| holds(&fact.declared)).count()
         };
         event!(self.node, EndpointsClosed;
             "request" => self.call.id.as_str(), "service" => self.service.as_str(),
-            "endpoints" => facts.len(), "limited" => count(&|said| said.limit.rate.is_some()),
-            "with_part" => count(&|said| said.bucket.per_s(now).is_some()),
-            "resting" => count(&|said| now < said.rests_until),
-            "leaving" => count(&|said| said.leaves), "tried" => self.tried.len(),
+            "endpoints" => facts.len(), "limited" => count(&|declared| declared.limit.rate.is_some()),
+            "with_part" => count(&|declared| declared.bucket.per_s(now).is_some()),
+            "resting" => count(&|declared| now < declared.backoff_until),
+            "leaving" => count(&|declared| declared.leaves), "tried" => self.tried.len(),
             "retry_ms" => back_in.0);
     }
 
@@ -56,7 +56,7 @@
         let now = self.node.clock.lease_now();
         let board = self.node.endpoints.borrow();
         let last = self.tried.last().and_then(|key| board.get(*key));
-        last.is_some_and(|fact| now < fact.said.rests_until) && self.choose().is_some()
+        last.is_some_and(|fact| now < fact.declared.backoff_until) && self.choose().is_some()
     }
 
     /// Whether "not run" would be true, and nothing of an answer has left.
@@ -66,8 +66,8 @@
 
     /// When the caller may come back, if nothing but what endpoints said of themselves keeps the request from one. Those
     /// who are refused together do not come back together.
-    fn opens_in(&self) -> Option<TimeSpan> {
-        let wait = opens_in(&self.node.endpoints.borrow(), &self.place_ask())?;
+    fn available_in(&self) -> Option<TimeSpan> {
+        let wait = available_in(&self.node.endpoints.borrow(), &self.place_ask())?;
         let wait = wait.max(SHORTEST_OPENING);
         Some(wait + TimeSpan(call_salt(&self.call) % wait.0))
     }
--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -22,7 +22,8 @@
 use oleander_kind::hash::{HASH_START, mix_bits, stable_hash};
 use oleander_kind::{AccountName, InstanceId, ResultCode, ServiceName, TimeSpan};
 use oleander_place::{
-    AnswerGrade, EndpointKey, PlaceAsk, PlaceChoice, choose_endpoint, queue_limit, shed_until,
+    AnswerGrade, EndpointKey, PlacementChoice, PlacementRequest, choose_endpoint, queue_limit,
+    shed_delay,
 };
 use oleander_suspect::{EndedLife, RequestContent, RequestPrint};
 use std::io;
@@ -93,7 +94,7 @@
     /// Its life, and where it listens.
     pub(crate) ran_at: Option<(EndedLife, SocketAddr)>,
     /// What the last choice of an endpoint went by.
-    pub(crate) chosen: Option<PlaceChoice>,
+    pub(crate) chosen: Option<PlacementChoice>,
     /// How old the endpoint list was then.
     pub(crate) list_age: Option<TimeSpan>,
     /// Whether it is known to have begun to run.
@@ -348,14 +349,14 @@
         self.give_up(code).await
     }
 
-    pub(crate) fn choose(&self) -> Option<PlaceChoice> {
+    pub(crate) fn choose(&self) -> Option<PlacementChoice> {
         let ask = self.place_ask();
         choose_endpoint(&self.node.endpoints.borrow(), &self.node.prefixes.borrow(), &ask)
     }
 
-    pub(crate) fn place_ask(&self) -> PlaceAsk<'_> {
+    pub(crate) fn place_ask(&self) -> PlacementRequest<'_> {
         let tokens = self.call.tokens.unwrap_or_default();
-        PlaceAsk {
+        PlacementRequest {
             service: &self.service,
             engine: self.is_engine(),
             prompt_tokens: tokens.prompt,
@@ -388,13 +389,13 @@
 
     /// When the caller should come back if the service is overloaded. A stream that its caller has a
     /// part of is gone on with in any case: the part would be lost.
-    fn overloaded(&self, choice: &PlaceChoice) -> Option<TimeSpan> {
+    fn overloaded(&self, choice: &PlacementChoice) -> Option<TimeSpan> {
         let fresh = self.record.sent() == 0 && self.last_event.is_none();
         if !fresh || !self.is_engine() {
             return None;
         }
         let pressure = self.node.note_offered(&self.service, choice.unread);
-        shed_until(choice, &pressure, self.queue_limit(), call_salt(&self.call))
+        shed_delay(choice, &pressure, self.queue_limit(), call_salt(&self.call))
     }
 
     pub(crate) fn is_engine(&self) -> bool {
--- a/crates/front/src/duties/orders.rs
+++ b/crates/front/src/duties/orders.rs
@@ -105,7 +105,7 @@
     let asked = collector.demand_of(service, node.clock.now()).requests;
     let board = node.endpoints.borrow();
     let facts = board.of_service(service).iter().filter_map(|key| board.get(*key));
-    let limits = facts.filter(|fact| fact.takes_work()).filter_map(|fact| fact.said.limit.rate);
+    let limits = facts.filter(|fact| fact.takes_work()).filter_map(|fact| fact.declared.limit.rate);
     lost_to_limits(limits, asked, needed)
 }
 
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -23,8 +23,7 @@
 use oleander_outlet::{HttpCodec, LinkPool};
 use oleander_pace::{ASSUMED_PER_MS, PaceBook, ReadPace, ReadSample};
 use oleander_place::{
-    EndpointBoard, EndpointFact, EndpointKey, OfferedRate, PauseRecord, PrefixRecord,
-    ServicePressure,
+    EndpointBoard, EndpointFact, EndpointKey, OfferedRate, PauseRecord, PrefixRecord, ServiceLoad,
 };
 use oleander_plat::FeedStore;
 use oleander_suspect::{EndWatch, SuspectBook};
@@ -344,15 +343,15 @@
     }
 
     /// Counts prompt tokens that `service` is asked to read, and says how it stands.
-    pub fn note_offered(&self, service: &ServiceName, tokens: u64) -> ServicePressure {
+    pub fn note_offered(&self, service: &ServiceName, tokens: u64) -> ServiceLoad {
         let mut offered = self.offered.borrow_mut();
         let rate = offered.entry(service.clone()).or_default();
         rate.note(tokens, self.clock.now());
-        let (queue, engines) = self.endpoints.borrow().queue_of(service);
+        let (queue, engines) = self.endpoints.borrow().queued_tokens(service);
         // Callers are spread over the processes by chance; each takes the others' share for its own.
         let offered_per_s = rate.per_s() * f64::from(self.process_count());
         let read_per_ms = self.read_per_ms(service);
-        ServicePressure { queue, engines, offered_per_s, read_per_ms }
+        ServiceLoad { queue, engines, offered_per_s, read_per_ms }
     }
 
     /// Reads what endpoint `key` sends, as long as that life of its instance lasts; none once a later
--- a/crates/front/src/releases/lane.rs
+++ b/crates/front/src/releases/lane.rs
@@ -5,7 +5,7 @@
 use oleander_call::AttemptEnd;
 use oleander_kind::TimeSpan;
 use oleander_kind::hash::mix_bits;
-use oleander_place::PlaceChoice;
+use oleander_place::PlacementChoice;
 
 /// How long answers of plain services take at the most, but for a few, and what an engine's takes besides its tokens.
 const PLAIN_TIME: TimeSpan = TimeSpan(300);
@@ -16,7 +16,7 @@
 
 impl CallRun<'_, '_> {
     /// Chooses an endpoint, of the version under the order of a roll-out if the request is one that goes there.
-    pub(crate) async fn choose_lane(&mut self) -> Option<PlaceChoice> {
+    pub(crate) async fn choose_lane(&mut self) -> Option<PlacementChoice> {
         let lot = mix_bits(call_salt(&self.call) ^ u64::from(self.record.sent())) as f64;
         let lot = lot / u64::MAX as f64;
         self.trial = take_lane(self.node, &self.service, (lot, self.expected())).await;
--- a/crates/front/src/trace.rs
+++ b/crates/front/src/trace.rs
@@ -6,7 +6,7 @@
 use crate::node::FrontNode;
 use compact_str::CompactString;
 use oleander_kind::{InstanceId, ResultCode, TimeSpan};
-use oleander_place::PlaceChoice;
+use oleander_place::PlacementChoice;
 use oleander_suspect::RequestPrint;
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -32,7 +32,7 @@
     /// The endpoint of the last attempt.
     pub(crate) endpoint: Option<InstanceId>,
     /// What that was chosen by.
-    pub(crate) chosen: Option<PlaceChoice>,
+    pub(crate) chosen: Option<PlacementChoice>,
     /// How old the endpoint list was then.
     pub(crate) list_age: Option<TimeSpan>,
     /// The last event that its caller has.
--- a/crates/front/src/words.rs
+++ b/crates/front/src/words.rs
@@ -14,7 +14,7 @@
 use oleander_call::{AnswerMark, SaidWord};
 use oleander_kind::{ClockTime, RequestRate, ResultCode};
 use oleander_limit::own_share;
-use oleander_place::{EndpointFact, EndpointKey, LimitWord};
+use oleander_place::{EndpointFact, EndpointKey, RateSignal};
 use oleander_suspect::EndedLife;
 
 /// From whom a word was heard.
@@ -55,7 +55,7 @@
         SaidWord::Absent => return,
         SaidWord::Unreadable(text) => return tell_unreadable(node, key, ("limit", text)),
     };
-    hear_limit(node, key, (LimitWord { rate, asked_at }, WordSource::Answer));
+    hear_limit(node, key, (RateSignal { rate, asked_at }, WordSource::Answer));
 }
 
 fn hear_leaving(node: &FrontNode, key: EndpointKey, mark: &AnswerMark) {
@@ -97,17 +97,17 @@
     let now = node.clock.lease_now();
     let mut board = node.endpoints.borrow_mut();
     let Some(fact) = board.get_mut(key) else { return };
-    let rested = now < fact.said.rests_until;
-    fact.said.rests_until = fact.said.rests_until.max(now + rest);
+    let rested = now < fact.declared.backoff_until;
+    fact.declared.backoff_until = fact.declared.backoff_until.max(now + rest);
     node.meter.count_word("rest", WordSource::Answer.name());
     event!(node, EndpointRests;
         "endpoint" => fact.entry.instance.as_str(), "life" => fact.entry.life,
         "service" => fact.entry.service.as_str(), "for_ms" => rest.0,
-        "left_ms" => (fact.said.rests_until - now).0, "rested" => rested);
+        "left_ms" => (fact.declared.backoff_until - now).0, "rested" => rested);
 }
 
 /// Takes a limit, or that there is none.
-fn hear_limit(node: &FrontNode, key: EndpointKey, (word, source): (LimitWord, WordSource)) {
+fn hear_limit(node: &FrontNode, key: EndpointKey, (word, source): (RateSignal, WordSource)) {
     let now = node.clock.lease_now();
     let own = word.rate.and_then(|rate| own_share(rate, node.process_count()));
     let mut board = node.endpoints.borrow_mut();
@@ -115,7 +115,7 @@
     if let Some(fact) = board.get_mut(key) {
         // Until the first lease comes, with the next answer of the collector.
         if let Some(per_s) = own.filter(|_| before.is_none()) {
-            fact.said.bucket.renew(per_s, (now, now));
+            fact.declared.bucket.renew(per_s, (now, now));
         }
         tell_limit(node, fact, (before, source));
     }
@@ -130,7 +130,7 @@
     (before, source): (Option<RequestRate>, WordSource),
 ) {
     let per_s = |rate: Option<RequestRate>| rate.map(RequestRate::per_s);
-    let LimitWord { rate, asked_at } = fact.said.limit;
+    let RateSignal { rate, asked_at } = fact.declared.limit;
     node.meter.count_word("limit", source.name());
     event!(node, EndpointLimit;
         "endpoint" => fact.entry.instance.as_str(), "life" => fact.entry.life,
--- a/crates/front/src/words/rates.rs
+++ b/crates/front/src/words/rates.rs
@@ -53,7 +53,7 @@
 ) -> Vec<RateShare> {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
-    let limited = board.speaking().filter_map(|(_, fact)| Some((fact, fact.said.limit.rate?)));
+    let limited = board.speaking().filter_map(|(_, fact)| Some((fact, fact.declared.limit.rate?)));
     let limited: Vec<_> = limited.filter(|(fact, _)| fact.takes_work()).collect();
     let key_of = |fact: &EndpointFact| RateKey::of(&fact.entry.instance, fact.entry.life);
     let keys: BTreeSet<RateKey> = limited.iter().map(|(fact, _)| key_of(fact)).collect();
@@ -90,17 +90,17 @@
         return;
     }
     let processes = node.process_count();
-    renew_parts(node, |fact| own_share(fact.said.limit.rate?, processes), now);
+    renew_parts(node, |fact| own_share(fact.declared.limit.rate?, processes), now);
 }
 
 fn renew_parts(node: &FrontNode, part: impl Fn(&EndpointFact) -> Option<f64>, asked_at: ClockTime) {
     let now = node.clock.lease_now();
     let mut board = node.endpoints.borrow_mut();
-    let limited = board.speaking().filter(|(_, fact)| fact.said.limit.rate.is_some());
+    let limited = board.speaking().filter(|(_, fact)| fact.declared.limit.rate.is_some());
     let parts: Vec<_> = limited.filter_map(|(key, fact)| Some((key, part(fact)?))).collect();
     for (key, per_s) in parts {
         if let Some(fact) = board.get_mut(key) {
-            fact.said.bucket.renew(per_s, (asked_at, now));
+            fact.declared.bucket.renew(per_s, (asked_at, now));
         }
     }
 }
--- a/crates/front/src/words/tell.rs
+++ b/crates/front/src/words/tell.rs
@@ -8,7 +8,7 @@
 use crate::node::FrontNode;
 use oleander_kind::{ClockTime, TimeSpan};
 use oleander_mesh::EndpointWords;
-use oleander_place::{EndpointFact, LimitWord};
+use oleander_place::{EndpointFact, RateSignal};
 use oleander_suspect::EndedLife;
 use std::collections::HashMap;
 
@@ -20,19 +20,19 @@
 }
 
 fn words_of(fact: &EndpointFact, now: ClockTime) -> Option<EndpointWords> {
-    let LimitWord { rate, asked_at } = fact.said.limit;
-    fact.said.is_shared().then(|| EndpointWords {
+    let RateSignal { rate, asked_at } = fact.declared.limit;
+    fact.declared.is_shared().then(|| EndpointWords {
         instance: fact.entry.instance.clone(),
         life: fact.entry.life,
         limit: rate,
         age: now - asked_at,
-        leaves: fact.said.leaves,
+        leaves: fact.declared.leaves,
     })
 }
 
 /// What it said last, for comparison.
 fn said_of(fact: &EndpointFact) -> SaidState {
-    SaidState { limit: fact.said.limit.rate, leaves: fact.said.leaves }
+    SaidState { limit: fact.declared.limit.rate, leaves: fact.declared.leaves }
 }
 
 /// Takes what another process tells, `late` after it was written at the most.
@@ -48,7 +48,7 @@
             let key = board.key(&words.instance);
             key.filter(|key| board.get(*key).is_some_and(|fact| fact.entry.life == words.life))
         };
-        let word = LimitWord { rate: words.limit, asked_at: now - (words.age + late) };
+        let word = RateSignal { rate: words.limit, asked_at: now - (words.age + late) };
         if let Some(key) = key {
             hear_limit(node, key, (word, WordSource::Told));
         }
--- a/crates/place/src/board.rs
+++ b/crates/place/src/board.rs
@@ -1,7 +1,7 @@
-//! What is known of each endpoint.
+//! The endpoints known to this process, with the state that placement decisions use.
 
 use crate::health::HealthRecord;
-use crate::word::{KeptWords, LimitWord, OwnWords};
+use crate::signal::{EndpointSignals, RateSignal, SignalCache};
 use compact_str::CompactString;
 use oleander_judge::BadTrait;
 use oleander_kind::endpoint::{EndpointStage, InstanceMarket};
@@ -14,25 +14,25 @@
 /// The key of an endpoint on the board.
 pub type EndpointKey = ArenaKey<EndpointFact>;
 
-/// An endpoint as the platform's list shows it.
+/// An endpoint as the platform's endpoint list describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointEntry {
-    /// The instance.
+    /// The instance name.
     pub instance: InstanceId,
-    /// When this life of it began, in Unix milliseconds by its own clock; 0 if it does not say. The
-    /// larger of two is the later life.
+    /// When this incarnation began, in Unix milliseconds by its own clock; 0 if it does not say.
+    /// The larger of two is the later incarnation.
     pub life: u64,
-    /// The service it answers for.
+    /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it answers.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Requests it runs at once.
+    /// The number of requests it runs at once.
     pub slots: u32,
     /// Whether it takes new requests.
     pub stage: EndpointStage,
-    /// How it was bought.
+    /// Whether it is reclaimable or on demand.
     pub market: InstanceMarket,
     /// When a leaving instance ends, on this process's steady clock.
     pub ends_at: Option<ClockTime>,
@@ -42,87 +42,94 @@
     pub revision: u64,
 }
 
-/// Work at an endpoint.
+/// The work in progress at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkLoad {
-    /// Requests sent and not answered to the end.
+    /// Requests sent and not completely answered.
     pub requests: u32,
-    /// Prompt tokens sent that brought no first event yet.
+    /// Tokens of the prompts that were sent and have produced no first event yet.
     pub unread_tokens: u64,
 }
 
-/// What is known of one endpoint.
+/// The state of one endpoint, as this process knows it.
 #[derive(Clone, Debug)]
 pub struct EndpointFact {
-    /// As the list shows it.
+    /// Its entry in the endpoint list.
     pub entry: EndpointEntry,
     /// This process's work there.
     pub own: WorkLoad,
-    /// The other processes' work there, as last heard; the mean of its service if this process is not told of it.
+    /// The other processes' work there, as last reported; the mean of its service if this process
+    /// does not receive reports on it.
     pub others: WorkLoad,
-    /// Whether this process is told of the others' work there.
+    /// Whether this process receives reports on the others' work there.
     pub is_told: bool,
-    /// Whether it takes requests as an endpoint of a version that serves.
+    /// Whether it takes requests as an endpoint of a serving version.
     pub serves: bool,
-    /// Whether it takes requests as one of a version under the order of a roll-out.
+    /// Whether it takes requests as an endpoint of a version that is being rolled out.
     pub is_tried: bool,
-    /// How it has been answering.
+    /// Its recent answers and failures.
     pub health: HealthRecord,
-    /// In what it answers worse than the others of its service, by what all processes saw, and until when
-    /// that is believed without being told again. It is used if there is no other, and by a few requests
-    /// that find out whether it is well again.
+    /// The trait in which it answers worse than the others of its service, by the observations of
+    /// all processes, and the time until which that holds unless it is confirmed. Such an endpoint
+    /// is used if there is no other, and gets a few requests that find out whether it has
+    /// recovered.
     pub aside: Option<(BadTrait, ClockTime)>,
-    /// What it said of itself.
-    pub said: OwnWords,
-    /// Whether the list lost it at a time when the store may have forgotten it by mistake. It is
-    /// used only if there is no other.
+    /// The signals that it sent about itself.
+    pub declared: EndpointSignals,
+    /// Whether it left the list at a time when the store may have lost it by mistake. Such an
+    /// endpoint is used only if there is no other.
     pub doubted: bool,
 }
 
 impl EndpointFact {
-    /// Requests of all processes.
+    /// The requests of all processes there.
     pub fn requests(&self) -> u32 {
         self.own.requests + self.others.requests
     }
 
-    /// Prompt tokens of all processes that wait to be read.
+    /// The prompt tokens of all processes that wait to be read there.
     pub fn unread_tokens(&self) -> u64 {
         self.own.unread_tokens + self.others.unread_tokens
     }
 
-    /// In what it answers worse than the others; none if it is not set aside.
+    /// The trait in which it answers worse than the others; `None` if it is not set aside.
     pub fn bad_trait(&self, now: ClockTime) -> Option<BadTrait> {
         self.aside.filter(|(_, until)| now < *until).map(|(bad_trait, _)| bad_trait)
     }
 
-    /// Whether it takes new requests: by the list, and by its own word, which the list may lag behind.
+    /// Whether it takes new requests, by the list and by its own leaving signal, since the list may
+    /// lag behind that.
     pub fn takes_work(&self) -> bool {
-        self.entry.stage == EndpointStage::Live && !self.said.leaves
+        self.entry.stage == EndpointStage::Live && !self.declared.leaves
     }
 }
 
-/// Ended lives that are remembered: more than attempts can be under way at while they are told.
-const ENDED_KEPT: usize = 256;
+/// The number of ended incarnations to remember: more than attempts can be in flight at while they
+/// are reported.
+const MAX_ENDED: usize = 256;
 
-/// All endpoints.
+/// All endpoints known to this process.
 #[derive(Default)]
 pub struct EndpointBoard {
     facts: ItemArena<EndpointFact>,
     by_instance: HashMap<InstanceId, EndpointKey>,
     by_service: BTreeMap<ServiceName, Vec<EndpointKey>>,
     ended: VecDeque<EndpointKey>,
-    kept: KeptWords,
-    /// Listed endpoints that said something all processes are to know: few, and asked for at each report.
+    unlisted: SignalCache,
+    /// Listed endpoints with a signal that all processes must know: they are few, and read for each
+    /// report.
     speaking: Vec<EndpointKey>,
 }
 
 impl EndpointBoard {
-    /// Takes an entry, new or changed; gives the key of the instance's latest life. An endpoint that is
-    /// leaving stays so: no later news of the same life can make it take work again.
+    /// Adds or updates an entry; returns the key of the instance's latest incarnation. A leaving
+    /// endpoint stays leaving: no later update of the same incarnation can make it take requests
+    /// again.
     ///
-    /// An instance may start again under its name. Nothing of the former life holds for the new one:
-    /// it gets a key of its own, so that work, health, prompt parts and attempts that go by the former
-    /// key never touch it. What is told of a life after a later one is known changes nothing.
+    /// An instance may restart under its name. Nothing known of the former incarnation holds for
+    /// the new one: it gets a key of its own, so that work, health, prompt parts and attempts under
+    /// the former key never affect it. Updates of an incarnation that arrive after a later one is
+    /// known are ignored.
     pub fn put(&mut self, entry: EndpointEntry) -> EndpointKey {
         if let Some(key) = self.key(&entry.instance)
             && let Some(fact) = self.facts.get_mut(key)
@@ -131,7 +138,7 @@
                 return key;
             }
             if entry.life > fact.entry.life {
-                self.end_life(key);
+                self.end_incarnation(key);
                 return self.insert(entry);
             }
             if entry.service != fact.entry.service {
@@ -148,67 +155,71 @@
         self.insert(entry)
     }
 
-    fn end_life(&mut self, key: EndpointKey) {
+    fn end_incarnation(&mut self, key: EndpointKey) {
         let Some(instance) = self.get(key).map(|fact| fact.entry.instance.clone()) else { return };
         self.remove(&instance);
         self.ended.push_back(key);
-        if self.ended.len() > ENDED_KEPT {
+        if self.ended.len() > MAX_ENDED {
             self.ended.pop_front();
         }
     }
 
-    /// Notes that the life of `instance` that began at `life` said that it leaves; says whether that is news.
-    pub fn note_leaving(&mut self, instance: &InstanceId, life: u64) -> bool {
+    /// Records the leaving signal of an incarnation of `instance`; returns whether that is new.
+    pub fn note_leaving(&mut self, instance: &InstanceId, incarnation: u64) -> bool {
         let key = self.by_instance.get(instance);
         let fact = key.and_then(|key| self.facts.get_mut(*key));
-        let said = match fact.filter(|fact| fact.entry.life == life) {
-            Some(fact) => &mut fact.said,
-            None => self.kept.of(instance, life),
+        let declared = match fact.filter(|fact| fact.entry.life == incarnation) {
+            Some(fact) => &mut fact.declared,
+            None => self.unlisted.of(instance, incarnation),
         };
-        let is_news = !std::mem::replace(&mut said.leaves, true);
+        let is_news = !std::mem::replace(&mut declared.leaves, true);
         if let Some(key) = self.key(instance) {
-            self.note_speaking(key);
+            self.note_signals(key);
         }
         is_news
     }
 
-    /// Takes the limit that an endpoint named, or that it names none any more; gives the rate that held before, if that is
-    /// another.
-    pub fn note_limit(&mut self, key: EndpointKey, word: LimitWord) -> Option<Option<RequestRate>> {
-        let said = &mut self.facts.get_mut(key)?.said;
-        let was_never_limited = word.rate.is_none() && said.limit.rate.is_none();
-        if was_never_limited || !word.replaces(&said.limit) {
+    /// Records the rate limit that an endpoint declared, or that it declared none. If that changes
+    /// its limit, returns the former one.
+    pub fn note_limit(
+        &mut self,
+        key: EndpointKey,
+        signal: RateSignal,
+    ) -> Option<Option<RequestRate>> {
+        let declared = &mut self.facts.get_mut(key)?.declared;
+        let was_never_limited = signal.rate.is_none() && declared.limit.rate.is_none();
+        if was_never_limited || !signal.replaces(&declared.limit) {
             return None;
         }
-        let before = std::mem::replace(&mut said.limit, word).rate;
-        if word.rate.is_none() {
-            said.bucket.end();
+        let before = std::mem::replace(&mut declared.limit, signal).rate;
+        if signal.rate.is_none() {
+            declared.bucket.end();
         }
-        self.note_speaking(key);
-        (before != word.rate).then_some(before)
+        self.note_signals(key);
+        (before != signal.rate).then_some(before)
     }
 
-    fn note_speaking(&mut self, key: EndpointKey) {
-        let speaks = self.facts.get(key).is_some_and(|fact| fact.said.is_shared());
+    fn note_signals(&mut self, key: EndpointKey) {
+        let speaks = self.facts.get(key).is_some_and(|fact| fact.declared.is_shared());
         if speaks && !self.speaking.contains(&key) {
             self.speaking.push(key);
         }
     }
 
-    /// Listed endpoints that said something all processes are to know.
+    /// Listed endpoints with a signal that all processes must know.
     pub fn speaking(&self) -> impl Iterator<Item = (EndpointKey, &EndpointFact)> {
         self.speaking.iter().filter_map(|key| Some((*key, self.facts.get(*key)?)))
     }
 
-    /// Whether a later life of its instance has taken the place of `key`: nothing more comes of what
-    /// was sent there.
+    /// Whether a later incarnation of its instance has replaced `key`: requests sent to it will not
+    /// be answered.
     pub fn has_ended(&self, key: EndpointKey) -> bool {
         self.ended.contains(&key)
     }
 
     fn insert(&mut self, entry: EndpointEntry) -> EndpointKey {
         let (instance, service) = (entry.instance.clone(), entry.service.clone());
-        let said = self.kept.take(&instance, entry.life);
+        let declared = self.unlisted.take(&instance, entry.life);
         let key = self.facts.insert(EndpointFact {
             entry,
             own: WorkLoad::default(),
@@ -218,20 +229,20 @@
             is_tried: false,
             health: HealthRecord::default(),
             aside: None,
-            said,
+            declared,
             doubted: false,
         });
-        self.note_speaking(key);
+        self.note_signals(key);
         self.by_instance.insert(instance, key);
         self.by_service.entry(service).or_default().push(key);
         key
     }
 
-    /// Takes an endpoint off the board.
+    /// Removes an endpoint from the board.
     pub fn remove(&mut self, instance: &InstanceId) -> Option<EndpointFact> {
         let key = self.by_instance.remove(instance)?;
         let fact = self.facts.remove(key)?;
-        self.kept.put(&fact);
+        self.unlisted.put(&fact);
         self.speaking.retain(|other| *other != key);
         if let Some(keys) = self.by_service.get_mut(&fact.entry.service) {
             keys.retain(|other| *other != key);
@@ -244,17 +255,17 @@
         self.by_instance.get(instance).copied()
     }
 
-    /// What is known of an endpoint.
+    /// The state of an endpoint.
     pub fn get(&self, key: EndpointKey) -> Option<&EndpointFact> {
         self.facts.get(key)
     }
 
-    /// What is known of an endpoint, for change.
+    /// The mutable state of an endpoint.
     pub fn get_mut(&mut self, key: EndpointKey) -> Option<&mut EndpointFact> {
         self.facts.get_mut(key)
     }
 
-    /// Changes every endpoint's facts.
+    /// Applies `act` to the state of every endpoint.
     pub fn for_each_mut(&mut self, mut act: impl FnMut(&mut EndpointFact)) {
         for key in self.by_instance.values() {
             if let Some(fact) = self.facts.get_mut(*key) {
@@ -273,12 +284,13 @@
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Prompt tokens that wait at the endpoints of a service that take work, and how many these are. Endpoints that named a
-    /// limit are left out: they take what they said, however little waits there.
-    pub fn queue_of(&self, service: &ServiceName) -> (u64, u32) {
+    /// The prompt tokens waiting at the endpoints of a service that take work, and the number of
+    /// these endpoints. Endpoints with a rate limit are left out: they accept no more than that
+    /// limit, however short their queue is.
+    pub fn queued_tokens(&self, service: &ServiceName) -> (u64, u32) {
         let facts = self.of_service(service).iter().filter_map(|key| self.get(*key));
         let working = facts.filter(|fact| fact.takes_work() && fact.serves);
-        let working = working.filter(|fact| fact.said.limit.rate.is_none());
+        let working = working.filter(|fact| fact.declared.limit.rate.is_none());
         working.fold((0, 0), |(queue, count), fact| (queue + fact.unread_tokens(), count + 1))
     }
 
@@ -287,12 +299,12 @@
         self.facts.iter()
     }
 
-    /// How many endpoints there are.
+    /// The number of endpoints.
     pub fn len(&self) -> usize {
         self.facts.len()
     }
 
-    /// Whether there is none.
+    /// Whether the board is empty.
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty()
     }
--- a/crates/place/src/pause.rs
+++ b/crates/place/src/pause.rs
@@ -1,21 +1,23 @@
-//! Whether the streams of a service pause for too long at all.
+//! How often the streams of a service pause for longer than allowed.
 
 use oleander_kind::{ClockTime, TimeSpan};
 
-/// Half of what was seen counts no more after this time: long enough for some tens of streams to end at one process of
-/// a large deployment.
+/// The half-life of the counts: long enough for some tens of streams to end at one process of a
+/// large deployment.
 const HALF_LIFE: TimeSpan = TimeSpan::secs(60);
-/// Streams that count as on time before any ended, so that the first late one is no proof.
+/// Streams that are assumed to have been on time before any ended, so that the first late one
+/// proves nothing.
 const ASSUMED_ON_TIME: f64 = 4.0;
-/// From this part of late ones on pauses are weighed in full. Where hardly any is late, long prompts are not why.
-const FULL_PART: f64 = 0.04;
+/// The part of late streams from which pauses get their full weight. Where hardly any stream is
+/// late, long prompts are not the cause.
+const FULL_WEIGHT_PART: f64 = 0.04;
 
-/// Streams that ended, and those that paused for too long; newer ones count more.
+/// Decayed counts of the streams that ended, and of those that paused for too long.
 ///
-/// Engines read prompts in pieces, and how long these are no configuration tells. In pieces of 4,096 tokens a
-/// long prompt makes the streams beside it pause; in pieces of 1,024 it does not, and to keep it from them
-/// only has its shared parts read again: of the long answers of such a service 0.94 were on time
-/// without weighing pauses, 0.90 with it.
+/// Engines read prompts in chunks, and no configuration tells their size. In chunks of 4,096 tokens
+/// a long prompt makes the streams beside it pause; in chunks of 1,024 it does not, and keeping it
+/// away from them only makes its shared parts be read again: of the long answers of such a service
+/// 0.94 were on time without weighting pauses, 0.90 with it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PauseRecord {
     ended: f64,
@@ -32,9 +34,9 @@
         self.at = now;
     }
 
-    /// How much pauses are to be weighed, in 0 to 1.
+    /// The weight of pauses in placement, in 0 to 1.
     pub fn weight(&self) -> f64 {
         let part = self.late / (self.ended + ASSUMED_ON_TIME);
-        (part / FULL_PART).min(1.0)
+        (part / FULL_WEIGHT_PART).min(1.0)
     }
 }
--- a/crates/place/src/prefix.rs
+++ b/crates/place/src/prefix.rs
@@ -1,23 +1,23 @@
-//! Which endpoint was given which prompt part, and when.
+//! Which prompt parts were sent to which endpoint, and when.
 
 use crate::board::EndpointKey;
 use oleander_call::PromptPart;
 use oleander_kind::{ClockTime, TimeSpan};
 use std::collections::HashMap;
 
-/// How long a part is taken to lie in an engine's memory after it was last used there. Parts yield
-/// least recently used first; within this time the memory of today's engines (about 900,000 tokens)
-/// takes in less new text than it holds.
-const PART_KEPT: TimeSpan = TimeSpan::secs(20);
+/// How long a part is assumed to stay in an engine's memory after its last use there. Engines evict
+/// the least recently used parts first; within this time the memory of today's engines (about
+/// 900,000 tokens) receives less new text than it holds.
+const PART_RETENTION: TimeSpan = TimeSpan::secs(20);
 
-/// What this process sent where.
+/// The prompt parts that this process sent to each endpoint.
 #[derive(Debug, Default)]
 pub struct PrefixRecord {
     parts: HashMap<u64, Vec<(EndpointKey, ClockTime)>>,
 }
 
 impl PrefixRecord {
-    /// Notes that a prompt with `parts` was sent to `endpoint`.
+    /// Records that a prompt with `parts` was sent to `endpoint`.
     pub fn note(&mut self, parts: &[PromptPart], endpoint: EndpointKey, now: ClockTime) {
         for part in parts {
             let places = self.parts.entry(part.id).or_default();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Tokens of the beginning of `parts` that `endpoint` should hold.
+    /// The tokens of the leading `parts` that `endpoint` should have cached.
     pub fn held(&self, parts: &[PromptPart], endpoint: EndpointKey, now: ClockTime) -> u64 {
         let is_held = |part: &&PromptPart| self.is_held(part.id, endpoint, now);
         parts.iter().take_while(is_held).map(|part| part.tokens).sum()
@@ -36,18 +36,18 @@
 
     fn is_held(&self, part: u64, endpoint: EndpointKey, now: ClockTime) -> bool {
         let places = self.parts.get(&part).map_or(&[][..], Vec::as_slice);
-        places.iter().any(|(key, at)| *key == endpoint && now - *at < PART_KEPT)
+        places.iter().any(|(key, at)| *key == endpoint && now - *at < PART_RETENTION)
     }
 
-    /// Forgets what is too old to count.
+    /// Drops records older than the retention.
     pub fn sweep(&mut self, now: ClockTime) {
         self.parts.retain(|_, places| {
-            places.retain(|(_, at)| now - *at < PART_KEPT);
+            places.retain(|(_, at)| now - *at < PART_RETENTION);
             !places.is_empty()
         });
     }
 
-    /// How many parts are known.
+    /// The number of known parts.
     pub fn len(&self) -> usize {
         self.parts.len()
     }
--- a/crates/place/src/shed.rs
+++ b/crates/place/src/shed.rs
@@ -1,80 +1,82 @@
-//! Which requests an overloaded service refuses at once.
+//! Load shedding: which requests an overloaded service refuses at once.
 //!
-//! Prompts that wait behind more than can be read within the objective are all answered late. Refusing
-//! as many as are too many lets the others be answered in time, and tells their callers at once.
+//! Prompts queued behind more than can be read within the objective are all answered late. Refusing
+//! the excess lets the others be answered in time, and tells the refused callers at once.
 
-use crate::choose::PlaceChoice;
+use crate::choose::PlacementChoice;
 use oleander_kind::hash::mix_bits;
 use oleander_kind::{ClockTime, TimeSpan};
 
-/// The first token takes this many times as long as the prompts ahead take to be read: engines make
-/// tokens of running streams in between, and prompts come that a process has not heard of.
+/// The factor by which the first token takes longer than reading the prompts ahead: engines
+/// generate tokens of running streams in between, and prompts arrive that this process has not been
+/// told of.
 const WAIT_FACTOR: f64 = 2.2;
-/// Times the objective that the most urgent rank may wait behind others. Half of the requests that are
-/// expected to take the objective take less; refusing these costs more than it brings.
-const URGENT_TIMES: f64 = 1.6;
-/// The same for all other ranks, which make room for the most urgent one.
-const OTHER_TIMES: f64 = 1.2;
-/// How many times as long as the reading alone engines take for a prompt that they have at once; what
-/// they read in a second of overload.
+/// The multiple of the objective that requests of the most urgent rank may wait in a queue. Half of
+/// the requests that are expected to take the objective take less; refusing these costs more than
+/// it gains.
+const URGENT_FACTOR: f64 = 1.6;
+/// The same for all other ranks, which yield to the most urgent one.
+const OTHER_FACTOR: f64 = 1.2;
+/// The factor by which engines take longer than the reading alone for the prompts that they have at
+/// once; it determines what they read in a second of overload.
 const READ_FACTOR: f64 = 1.5;
-/// What is offered is averaged over this time, in milliseconds: long enough for some ten requests at
-/// one process of many, short against a wave of callers.
+/// The averaging time of the offered load, in milliseconds: long enough for some ten requests at
+/// one process of many, short compared to a wave of callers.
 const OFFERED_TIME_MS: f64 = 1500.0;
-/// The shortest time after which a refused caller may come back.
-const SHORTEST_RETURN: TimeSpan = TimeSpan(200);
+/// The shortest delay after which a refused caller may retry.
+const MIN_RETRY_DELAY: TimeSpan = TimeSpan(200);
 
-/// Tokens that may wait before a request of `rank` and `objective` at an engine that reads
+/// The tokens that may wait ahead of a request of `rank` and `objective` at an engine that reads
 /// `read_per_ms` tokens a millisecond.
 pub fn queue_limit(objective: TimeSpan, rank: u8, read_per_ms: f64) -> u64 {
-    let times = if rank == 0 { URGENT_TIMES } else { OTHER_TIMES };
+    let times = if rank == 0 { URGENT_FACTOR } else { OTHER_FACTOR };
     (objective.0 as f64 * times / WAIT_FACTOR * read_per_ms) as u64
 }
 
-/// How a service stands, as one process sees it.
+/// The load of a service, as one process sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServicePressure {
+pub struct ServiceLoad {
     /// Prompt tokens that wait at all its engines.
     pub queue: u64,
     /// Engines that take work.
     pub engines: u32,
-    /// Prompt tokens a second that all processes are asked to have read.
+    /// The prompt tokens a second that callers offer to all processes.
     pub offered_per_s: f64,
-    /// Prompt tokens that an engine reads in a millisecond if it does nothing else.
+    /// Prompt tokens that an idle engine reads in a millisecond.
     pub read_per_ms: f64,
 }
 
-/// The part of the requests to be taken, by how many tokens may wait at one engine.
+/// The part of the requests to admit, if `limit` tokens may wait at one engine.
 ///
-/// Queues are known half a second late. Going by them alone, every process sends as long as they look
-/// short, and half a second's work of all of them arrives at once. What is offered and what engines
-/// read are known better, so the part follows their ratio, and the queue only corrects it: towards
-/// what may wait.
-fn admitted_part(pressure: &ServicePressure, limit: u64) -> f64 {
-    /// Where the queue is held, as a part of what may wait.
-    const AIM: f64 = 1.0;
-    /// Below this part of it nothing is refused by lot.
-    const BEGIN: f64 = 0.8;
-    /// How strongly it is drawn there: a queue half again as long stops all.
+/// Queue lengths are known half a second late. With those alone, every process would send as long
+/// as the queues look short, and half a second's work of all processes would arrive at once. The
+/// offered load and the reading speed are known better, so the part follows their ratio, and the
+/// queue only corrects it towards the limit.
+fn admitted_part(pressure: &ServiceLoad, limit: u64) -> f64 {
+    /// The target fill of the queue, as a part of what may wait.
+    const TARGET_FILL: f64 = 1.0;
+    /// Below this part of the target nothing is refused at random.
+    const MIN_FILL: f64 = 0.8;
+    /// The gain of the correction: a queue half again as long as the target stops all requests.
     const CORRECTION: f64 = 2.0;
     let most = f64::from(pressure.engines) * limit as f64;
     let filled = pressure.queue as f64 / most.max(1.0);
-    if filled < BEGIN * AIM {
+    if filled < MIN_FILL * TARGET_FILL {
         return 1.0;
     }
     let read_per_s = f64::from(pressure.engines) * pressure.read_per_ms * 1000.0 / READ_FACTOR;
     let part = read_per_s / pressure.offered_per_s.max(1.0);
-    (part * (1.0 + CORRECTION * (AIM - filled))).clamp(0.0, 1.0)
+    (part * (1.0 + CORRECTION * (TARGET_FILL - filled))).clamp(0.0, 1.0)
 }
 
-/// When a request with this choice should come back; none if it is taken.
+/// The delay after which a request with this choice should be retried; `None` if it is admitted.
 ///
-/// It is refused if it would wait for too long wherever it goes, or by lot if more is offered than the
-/// engines read. Returns are spread over as long again, so that those who are refused together do not
-/// come back together.
-pub fn shed_until(
-    choice: &PlaceChoice,
-    pressure: &ServicePressure,
+/// It is refused if it would wait for too long at any endpoint, or at random if more is offered
+/// than the engines can read. Retries are spread over as long again, so that callers refused
+/// together do not retry together.
+pub fn shed_delay(
+    choice: &PlacementChoice,
+    pressure: &ServiceLoad,
     limit: u64,
     salt: u64,
 ) -> Option<TimeSpan> {
@@ -83,11 +85,11 @@
         return None;
     }
     let wait = (choice.queue() as f64 / pressure.read_per_ms * WAIT_FACTOR) as u64;
-    let wait = wait.max(SHORTEST_RETURN.0);
+    let wait = wait.max(MIN_RETRY_DELAY.0);
     Some(TimeSpan(wait + salt % wait))
 }
 
-/// Tokens a second, averaged.
+/// An average of tokens a second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OfferedRate {
     per_s: f64,
@@ -95,14 +97,14 @@
 }
 
 impl OfferedRate {
-    /// Counts tokens asked for.
+    /// Counts tokens of an offered request.
     pub fn note(&mut self, tokens: u64, now: ClockTime) {
         let kept = (-((now - self.at).0 as f64) / OFFERED_TIME_MS).exp();
         self.per_s = self.per_s * kept + tokens as f64 * 1000.0 / OFFERED_TIME_MS;
         self.at = now;
     }
 
-    /// The rate, as of the last count.
+    /// The average rate, as of the last request.
     pub fn per_s(&self) -> f64 {
         self.per_s
     }
--- a/tests/all/lives.rs
+++ b/tests/all/lives.rs
@@ -61,7 +61,7 @@
     let next = board.put(entry(2, EndpointStage::Live));
 
     let fact = board.get(next).expect("known");
-    assert!(fact.takes_work() && !fact.doubted && !fact.health.rests(NOW));
+    assert!(fact.takes_work() && !fact.doubted && !fact.health.is_backing_off(NOW));
     assert_eq!((fact.requests(), fact.unread_tokens()), (0, 0));
     // What is still counted off the former life finds nothing there.
     assert!(board.get(former).is_none() && board.has_ended(former) && !board.has_ended(next));
--- a/tests/all/pauses.rs
+++ b/tests/all/pauses.rs
@@ -1,33 +1,34 @@
-//! Streams beside long prompts, at many engines that read in pieces, in virtual time.
+//! Streams beside long prompts, at many engines that read in chunks, in simulated time.
 
 use crate::place::engines;
 use oleandertack::kind::hash::mix_bits;
 use oleandertack::kind::{ClockTime, DomainName, ServiceName, TimeSpan};
 use oleandertack::place::{
-    EndpointBoard, EndpointKey, PauseRecord, PlaceAsk, PrefixRecord, WorkLoad, choose_endpoint,
+    EndpointBoard, EndpointKey, PauseRecord, PlacementRequest, PrefixRecord, WorkLoad,
+    choose_endpoint,
 };
 use std::collections::VecDeque;
 
 const PROCESSES: usize = 195;
 const ENGINES: usize = 48;
-/// How often a process hears of the others' work.
+/// The period of reports on the others' work.
 const REPORT_MS: u64 = 250;
 /// Prompt tokens that an engine reads in a millisecond.
 const READ_PER_MS: f64 = 125.0;
 /// Tokens of one prompt that an engine reads in a step.
 const PIECE: f64 = 4096.0;
-/// A step that reads nothing, and what each running stream adds to it.
+/// The time of a step that reads nothing, and what each running stream adds to it.
 const STEP_MS: f64 = 3.27;
 const STEP_MS_PER_STREAM: f64 = 0.08;
-/// Reading goes slower the longer a prompt is: this for a million pairs of its tokens.
+/// Reading slows down with the length of a prompt: this for a million pairs of its tokens.
 const MS_PER_MILLION_PAIRS: f64 = 0.263;
-/// Tokens that one event carries.
+/// Tokens per event.
 const EVENT_TOKENS: u32 = 7;
 /// The longest pause of an on-time stream.
 const PAUSE: TimeSpan = TimeSpan(400);
 const START: u64 = 1_000_000;
 
-/// A prompt that waits to be read, or is being read.
+/// A prompt that is queued or being read.
 #[derive(Clone, Copy)]
 struct WaitingPrompt {
     process: usize,
@@ -36,7 +37,7 @@
     events: u32,
 }
 
-/// A stream that runs.
+/// A running stream.
 struct RunningStream {
     process: usize,
     tokens_left: u32,
@@ -45,17 +46,17 @@
     events: u32,
 }
 
-/// An engine that makes tokens between the pieces of prompts.
+/// An engine that generates tokens between the chunks of prompts.
 struct StepEngine {
-    /// 1.0, or 1.3 of each third engine.
+    /// 1.0, or 1.3 for every third engine.
     slowness: f64,
     free_at: f64,
     prompts: VecDeque<WaitingPrompt>,
     streams: Vec<RunningStream>,
 }
 
-/// What an engine told of a request.
-enum EngineNews {
+/// An event that an engine reports for a request.
+enum EngineEvent {
     Read { process: usize, tokens: u64 },
     Done { process: usize, events: u32, longest: f64 },
 }
@@ -66,8 +67,8 @@
         StepEngine { slowness, free_at: 0.0, prompts: VecDeque::new(), streams: Vec::new() }
     }
 
-    /// Takes the steps that begin before `now`.
-    fn run_until(&mut self, now: f64) -> Vec<EngineNews> {
+    /// Runs the steps that begin before `now`.
+    fn run_until(&mut self, now: f64) -> Vec<EngineEvent> {
         let mut news = Vec::new();
         while self.free_at < now {
             if self.prompts.is_empty() && self.streams.is_empty() {
@@ -79,7 +80,7 @@
         news
     }
 
-    fn step(&mut self, news: &mut Vec<EngineNews>) {
+    fn step(&mut self, news: &mut Vec<EngineEvent>) {
         let mut took = STEP_MS + STEP_MS_PER_STREAM * self.streams.len() as f64;
         let mut read = None;
         if let Some(prompt) = self.prompts.front_mut() {
@@ -98,7 +99,7 @@
             }
         }
         let done = self.streams.extract_if(.., |stream| stream.tokens_left == 0);
-        news.extend(done.map(|stream| EngineNews::Done {
+        news.extend(done.map(|stream| EngineEvent::Done {
             process: stream.process,
             events: stream.events,
             longest: stream.longest,
@@ -110,12 +111,12 @@
             let stream =
                 RunningStream { process, tokens_left, event_at: now, longest: 0.0, events };
             self.streams.push(stream);
-            news.push(EngineNews::Read { process, tokens: prompt.tokens as u64 });
+            news.push(EngineEvent::Read { process, tokens: prompt.tokens as u64 });
         }
     }
 }
 
-/// A process and what it knows.
+/// A process and its knowledge of the engines.
 struct PlacingProcess {
     board: EndpointBoard,
     keys: Vec<EndpointKey>,
@@ -126,8 +127,8 @@
     PlacingProcess { board, keys }
 }
 
-/// Processes, engines, and what the processes last heard of one another.
-struct PausePlay {
+/// Processes, engines, and what the processes last reported to one another.
+struct PauseSim {
     processes: Vec<PlacingProcess>,
     engines: Vec<StepEngine>,
     told: Vec<Vec<WorkLoad>>,
@@ -135,9 +136,9 @@
     random: u64,
 }
 
-impl PausePlay {
+impl PauseSim {
     fn new() -> Self {
-        PausePlay {
+        PauseSim {
             processes: (0..PROCESSES).map(|_| process()).collect(),
             engines: (0..ENGINES).map(StepEngine::new).collect(),
             told: vec![vec![WorkLoad::default(); ENGINES]; PROCESSES],
@@ -151,13 +152,13 @@
         self.random as f64 / u64::MAX as f64
     }
 
-    /// A length whose logarithm is spread normally, with this mean and at most `most`.
+    /// A log-normally distributed length with this mean, at most `most`.
     fn length(&mut self, mean: f64, spread: f64, most: f64) -> f64 {
         let normal = (0..12).map(|_| self.draw()).sum::<f64>() - 6.0;
         (mean * (spread * normal - spread * spread / 2.0).exp()).clamp(50.0, most)
     }
 
-    /// A process reports its work and hears of the others'.
+    /// A process reports its work and receives what the others reported.
     fn report(&mut self, at: usize) {
         let process = &mut self.processes[at];
         for (engine, key) in process.keys.iter().enumerate() {
@@ -178,7 +179,7 @@
         let at = (self.draw() * PROCESSES as f64) as usize;
         let salt = self.draw().to_bits();
         let (service, domain) = (ServiceName::from("engine"), DomainName::from("kopli"));
-        let ask = PlaceAsk {
+        let request = PlacementRequest {
             service: &service,
             engine: true,
             prompt_tokens: tokens as u64,
@@ -196,7 +197,7 @@
             lease_now: ClockTime(START + ms),
         };
         let process = &mut self.processes[at];
-        let choice = choose_endpoint(&process.board, &PrefixRecord::default(), &ask);
+        let choice = choose_endpoint(&process.board, &PrefixRecord::default(), &request);
         let key = choice.expect("one of them").key;
         let fact = process.board.get_mut(key).expect("known");
         fact.own.requests += 1;
@@ -211,17 +212,17 @@
         });
     }
 
-    /// Lets the engines work until `ms`; gives the longest pause of each long answer that ended.
+    /// Runs the engines until `ms`; returns the longest pause of each long answer that ended.
     fn work(&mut self, ms: u64) -> Vec<f64> {
         let mut pauses = Vec::new();
         for at in 0..ENGINES {
             for news in self.engines[at].run_until(ms as f64) {
-                let (EngineNews::Read { process, .. } | EngineNews::Done { process, .. }) = news;
+                let (EngineEvent::Read { process, .. } | EngineEvent::Done { process, .. }) = news;
                 let process = &mut self.processes[process];
                 let own = &mut process.board.get_mut(process.keys[at]).expect("known").own;
                 match news {
-                    EngineNews::Read { tokens, .. } => own.unread_tokens -= tokens,
-                    EngineNews::Done { events, longest, .. } => {
+                    EngineEvent::Read { tokens, .. } => own.unread_tokens -= tokens,
+                    EngineEvent::Done { events, longest, .. } => {
                         own.requests -= 1;
                         pauses.extend((events > 12).then_some(longest));
                     }
@@ -232,10 +233,10 @@
     }
 }
 
-/// Plays `seconds` of 95 long answers and 570 short ones a second; gives the part of the long answers that
-/// paused for too long.
+/// Simulates `seconds` of 95 long answers and 570 short ones a second; returns the part of the long
+/// answers that paused for too long.
 fn paused_part(seconds: u64) -> f64 {
-    let mut play = PausePlay::new();
+    let mut play = PauseSim::new();
     let mut pauses = Vec::new();
     for ms in 0..seconds * 1000 {
         pauses.extend(play.work(ms));
@@ -254,22 +255,23 @@
     pauses.iter().filter(|pause| **pause > PAUSE.0 as f64).count() as f64 / pauses.len() as f64
 }
 
-/// The screen of a caller stands still in the middle of an answer. Its engine was given a prompt of 20,000
-/// tokens or more, and makes seven tokens of each running stream, one event, while it reads seven pieces
-/// of it. No engine fails; it is where the long prompt is put. When it looked at two engines for their
-/// queues alone, 9.3 in 100 long answers paused for too long; now 6.1 do. Nine in ten of them are to be on
-/// time, and two in 100 are late by their first token, which leaves 8.
+/// A stream pauses in the middle of an answer. Its engine received a prompt of 20,000 tokens or
+/// more, and generates seven tokens of each running stream, one event, while it reads seven chunks
+/// of it. No engine fails; the cause is where the long prompt is placed. When it compared the
+/// queues of two engines only, 9.3 in 100 long answers paused for too long; now 6.1 do. Nine in ten
+/// of them must be on time, and two in 100 are late by their first token, which leaves 8.
 #[test]
-fn long_prompts_go_where_few_streams_run() {
+fn long_prompts_go_to_engines_with_few_streams() {
     let paused = paused_part(20);
 
     assert!(paused < 0.08, "{paused}");
 }
 
-/// Long prompts are kept from engines with their shared parts, which are read again elsewhere for nothing: this
-/// service's engines read in pieces so small that no stream beside them pauses. What the streams show decides.
+/// Long prompts are kept away from engines with their shared parts, which are read again elsewhere
+/// without any gain: this service's engines read in chunks so small that no stream beside them
+/// pauses. The observed pauses of its streams decide.
 #[test]
-fn pauses_are_weighed_where_streams_pause() {
+fn pauses_are_weighted_only_where_streams_pause() {
     let weight = |late_each: u64| {
         let mut record = PauseRecord::default();
         for at in 1..=40 {
--- a/tests/all/place.rs
+++ b/tests/all/place.rs
@@ -6,13 +6,13 @@
 use oleandertack::kind::hash::mix_bits;
 use oleandertack::kind::{ClockTime, DomainName, RequestRate, ServiceName, TimeSpan};
 use oleandertack::place::{
-    AnswerGrade, EndpointBoard, EndpointEntry, EndpointKey, LimitWord, PlaceAsk, PrefixRecord,
-    choose_endpoint,
+    AnswerGrade, EndpointBoard, EndpointEntry, EndpointKey, PlacementRequest, PrefixRecord,
+    RateSignal, choose_endpoint,
 };
 
 const NOW: ClockTime = ClockTime(100_000);
 
-/// A board of `count` engines with so many places each.
+/// A board of `count` engines with `slots` slots each.
 pub fn engines(count: usize, slots: u32) -> (EndpointBoard, Vec<EndpointKey>) {
     let mut board = EndpointBoard::default();
     let entry = |at: usize| EndpointEntry { slots, ..entry_of(&format!("i-{at}"), "kopli") };
@@ -66,7 +66,7 @@
         parts: &[PromptPart],
         salt: u64,
     ) -> Option<EndpointKey> {
-        let ask = PlaceAsk {
+        let request = PlacementRequest {
             service: &self.service,
             engine: true,
             prompt_tokens: parts.iter().map(|part| part.tokens).sum::<u64>().max(1000),
@@ -83,7 +83,7 @@
             now: self.now,
             lease_now: self.now,
         };
-        choose_endpoint(board, &self.prefixes, &ask).map(|choice| choice.key)
+        choose_endpoint(board, &self.prefixes, &request).map(|choice| choice.key)
     }
 }
 
@@ -92,9 +92,9 @@
 }
 
 #[test]
-fn processes_agree_on_where_a_shared_part_lies_without_a_word() {
-    // Prompts are read again at several engines if each process picks its own. Two processes that
-    // have sent nothing yet must choose alike.
+fn processes_agree_on_the_home_of_a_shared_part() {
+    // Shared parts are read again at several engines if each process picks its own. Two processes
+    // that have sent nothing yet must choose alike.
     let (board, _) = board(9);
     let (one, other) = (chooser(), chooser());
 
@@ -118,9 +118,9 @@
 }
 
 #[test]
-fn a_full_queue_outweighs_a_kept_part() {
-    // A caller waits behind a long queue although other engines are idle: its shared part lies at
-    // the busy one. Reading 5000 tokens again costs 40 ms; the queue is ten times that.
+fn a_long_queue_outweighs_a_cached_part() {
+    // A caller waits in a long queue although other engines are idle, because its shared part is
+    // cached at the busy one. Reading 5000 tokens again costs 40 ms; the queue is ten times that.
     let (mut board, _) = board(3);
     let chooser = chooser();
     let home = chooser.choose(&board, &parts(7, 1), 1).expect("one of three");
@@ -132,9 +132,9 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_and_stays_leaving() {
-    // Requests reach an endpoint seconds after it said that it leaves: an older entry of the same
-    // life came later, by another way.
+fn a_leaving_endpoint_gets_no_request_and_stays_leaving() {
+    // Requests reach an endpoint seconds after it signalled that it is leaving: an older entry of
+    // the same incarnation arrives later, by another path.
     let (mut board, keys) = board(1);
     board.put(EndpointEntry { stage: EndpointStage::Leaving, ..entry_of("i-0", "kopli") });
     board.put(entry_of("i-0", "kopli"));
@@ -143,10 +143,11 @@
     assert!(board.get(keys[0]).is_some_and(|fact| !fact.takes_work()));
 }
 
-/// Requests that must not be repeated go on failing at a replica of which all processes together know that
-/// it fails. It was set aside; a few requests that may run again still try it, so that it comes back.
+/// Requests that must not be repeated continue to fail at a replica which all processes together
+/// know to be failing. It is set aside; a few repeatable requests still try it, so that its
+/// recovery is noticed.
 #[test]
-fn an_endpoint_that_is_set_aside_gets_a_few_repeatable_requests_only() {
+fn an_endpoint_set_aside_gets_only_a_few_repeatable_requests() {
     let (mut board, keys) = board(3);
     let until = NOW + TimeSpan(1000);
     board.get_mut(keys[0]).expect("known").aside = Some((BadTrait::Failing, until));
@@ -159,15 +160,16 @@
     };
 
     assert_eq!(chosen(false, NOW), 0);
-    // One in sixteen may, of which two in three look at it among two, and half of these choose it.
+    // One in sixteen may; two in three of these include it in their sample of two, and half of
+    // those choose it.
     assert!((4..=40).contains(&chosen(true, NOW)), "{}", chosen(true, NOW));
     assert!(chosen(false, until) > 100);
 }
 
 #[test]
-fn suspicion_of_all_refuses_nobody() {
-    // Every request of a service is refused: all its endpoints rest after a cut that is over, or
-    // were lost from the list while the store was away.
+fn suspicion_of_all_endpoints_refuses_no_request() {
+    // Every request of a service is refused: all its endpoints are in backoff after a partition
+    // that has healed, or were lost from the list during a store outage.
     let (mut board, keys) = board(2);
     for key in keys {
         let fact = board.get_mut(key).expect("known");
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_half_its_requests_is_left_and_found_again() {
+fn an_endpoint_that_fails_half_its_requests_is_avoided_then_retried() {
     // Half the answers of one of three endpoints are failures while its health check passes. It
     // gets next to nothing, and is tried again some seconds after its last failure.
     let (mut board, keys) = board(3);
@@ -206,16 +208,16 @@
     assert!(share(NOW + TimeSpan::secs(20)) < 0.05);
 }
 
-/// Names a limit for an endpoint as if it had answered so at [`NOW`].
+/// Declares a rate limit for an endpoint as if it had answered so at [`NOW`].
 fn limit(board: &mut EndpointBoard, key: EndpointKey, per_s: f64) {
     let rate = Some(RequestRate::per_second(per_s));
-    board.note_limit(key, LimitWord { rate, asked_at: NOW });
+    board.note_limit(key, RateSignal { rate, asked_at: NOW });
 }
 
-/// An endpoint in need is sent more than it takes by a way past its limit: as the last resort, as the home of a shared
-/// part, as one that may be well again.
+/// An overloaded endpoint is sent more than its rate limit by a path that bypasses it: as the last
+/// resort, as the home of a shared part, or as a trial of an endpoint that may have recovered.
 #[test]
-fn no_way_leads_past_the_limit_that_an_endpoint_named() {
+fn no_request_exceeds_the_rate_limit_an_endpoint_declared() {
     let (mut board, keys) = board(2);
     limit(&mut board, keys[0], 2.0);
     let other = board.get_mut(keys[1]).expect("known");
@@ -231,9 +233,9 @@
     assert_eq!(chooser.choose(&board, &[], 1), None);
 }
 
-/// All prompts of a limited engine go to the same other one.
+/// All prompts of a limited engine go to the same other engine.
 #[test]
-fn what_a_limited_home_sheds_goes_to_several_engines() {
+fn prompts_of_a_limited_home_spread_over_several_engines() {
     let (mut board, keys) = board(6);
     let chooser = chooser();
     let home = |board: &EndpointBoard, shared| chooser.choose(board, &parts(shared, 1), 1);
@@ -251,21 +253,21 @@
     );
 }
 
-/// A service is taken for idle, and nobody is refused in time, as limited engines have no queue.
+/// A service appears idle and sheds no request in time, because limited engines have no queue.
 #[test]
-fn limited_engines_do_not_count_among_those_whose_queues_are_short() {
+fn limited_engines_are_left_out_of_the_service_queue() {
     let (mut board, keys) = board(3);
     board.get_mut(keys[2]).expect("known").own.unread_tokens = 700;
     limit(&mut board, keys[0], 2.0);
     limit(&mut board, keys[1], 2.0);
 
-    assert_eq!(board.queue_of(&"engine".into()), (700, 1));
+    assert_eq!(board.queued_tokens(&"engine".into()), (700, 1));
 }
 
-/// An endpoint that leaves is sent requests again: the list loses its entry and brings it back as one that stays, or tells of
-/// it later than the endpoint itself. A later life of it serves.
+/// A leaving endpoint is sent requests again: the list loses its entry and brings it back as live,
+/// or reports the change later than the endpoint's own signal. A later incarnation of it serves.
 #[test]
-fn an_endpoint_that_said_it_leaves_does_so_until_a_later_life() {
+fn an_endpoint_stays_leaving_until_a_later_incarnation() {
     let entry = |life| EndpointEntry { life, ..entry_of("i-0", "kopli") };
     let takes_work = |board: &EndpointBoard| {
         let key = board.key(&"i-0".into()).and_then(|key| board.get(key));
@@ -288,26 +290,26 @@
     assert_eq!(takes_work(&board), Some(true));
 }
 
-/// An endpoint at rest or at its limit is sent what it does not want: the list loses its entry for a moment, and what it
-/// said is lost with it.
+/// An endpoint in backoff or at its rate limit is sent requests that it does not accept: the list
+/// loses its entry for a moment, and its signals are lost with it.
 #[test]
-fn what_an_endpoint_said_outlasts_its_entry() {
+fn the_signals_of_an_endpoint_outlast_its_entry() {
     let (mut board, keys) = board(2);
     limit(&mut board, keys[0], 2.0);
     let until = NOW + TimeSpan::secs(3);
-    board.get_mut(keys[1]).expect("known").said.rests_until = until;
+    board.get_mut(keys[1]).expect("known").declared.backoff_until = until;
     for name in ["i-0", "i-1"] {
         let entry = board.remove(&name.into()).expect("listed").entry;
         board.put(entry);
     }
 
-    let said = |name: &str| {
+    let declared = |name: &str| {
         let key = board.key(&name.into()).expect("listed");
-        board.get(key).expect("listed").said
+        board.get(key).expect("listed").declared
     };
-    assert_eq!(said("i-0").limit.rate, Some(RequestRate::per_second(2.0)));
+    assert_eq!(declared("i-0").limit.rate, Some(RequestRate::per_second(2.0)));
     assert_eq!(
-        (said("i-1").opens_in(NOW), said("i-1").opens_in(until)),
+        (declared("i-1").available_in(NOW), declared("i-1").available_in(until)),
         (Some(TimeSpan(3000)), None)
     );
     assert_eq!(chooser().choose(&board, &[], 1), None);
--- a/tests/all/placing.rs
+++ b/tests/all/placing.rs
@@ -1,4 +1,5 @@
-//! Many processes place requests at engines by old news of one another, in virtual time.
+//! Many processes place requests at engines by stale reports of one another's work, in simulated
+//! time.
 
 use crate::place::engines;
 use oleandertack::call::PromptPart;
@@ -6,21 +7,21 @@
 use oleandertack::kind::{ClockTime, DomainName, ServiceName, TimeSpan};
 use oleandertack::pace::{ASSUMED_PER_MS, PaceBook, ReadSample, join_paces};
 use oleandertack::place::{
-    EndpointBoard, EndpointKey, OfferedRate, PlaceAsk, PrefixRecord, ServicePressure, WorkLoad,
-    choose_endpoint, queue_limit, shed_until,
+    EndpointBoard, EndpointKey, OfferedRate, PlacementRequest, PrefixRecord, ServiceLoad, WorkLoad,
+    choose_endpoint, queue_limit, shed_delay,
 };
 use std::collections::HashMap;
 
-/// Sizes of a deployment of today that has grown.
+/// The sizes of a present deployment that has grown.
 const PROCESSES: usize = 64;
 const ENGINES: usize = 60;
-/// How often a process hears of the others' work.
+/// The period of reports on the others' work.
 const REPORT_MS: u64 = 250;
 /// How long an engine keeps a part that is not used.
-const KEPT_MS: u64 = 9000;
-/// Prompt tokens that an engine of today reads in a millisecond.
+const RETENTION_MS: u64 = 9000;
+/// Prompt tokens that a present engine reads in a millisecond.
 const READ_PER_MS: f64 = 125.0;
-/// The objective until the first token, with such engines.
+/// The objective for the first token, with such engines.
 const OBJECTIVE: TimeSpan = TimeSpan(500);
 const START: u64 = 1_000_000;
 
@@ -36,8 +37,8 @@
     Process { board, keys, prefixes: PrefixRecord::default(), offered: OfferedRate::default() }
 }
 
-/// A prompt under way at an engine.
-struct Reading {
+/// A prompt in flight at an engine.
+struct PendingRead {
     process: usize,
     engine: usize,
     unread: u64,
@@ -46,23 +47,23 @@
     done_ms: f64,
 }
 
-/// How a play goes.
-struct PlayPlan {
+/// The parameters of a simulation.
+struct SimPlan {
     seconds: u64,
-    /// The part of their time that the engines are kept reading if nothing is read twice.
+    /// The utilization of the engines if nothing is read twice.
     part: f64,
-    /// Prompt tokens that an engine reads in a millisecond if it does nothing else.
+    /// Prompt tokens that an idle engine reads in a millisecond.
     read_per_ms: f64,
-    /// How many times as long as the reading alone a prompt takes.
+    /// The factor by which a prompt takes longer than the reading alone.
     slowness: f64,
-    /// Whether the speed is found by looking, and not known.
+    /// Whether the reading speed is estimated from samples instead of known.
     observes: bool,
     /// Whether requests that would be late are refused.
     sheds: bool,
 }
 
-/// Engines of today, of which the speed is known.
-const PLAN: PlayPlan = PlayPlan {
+/// Present engines with a known reading speed.
+const PLAN: SimPlan = SimPlan {
     seconds: 10,
     part: 0.6,
     read_per_ms: READ_PER_MS,
@@ -71,29 +72,30 @@
     sheds: false,
 };
 
-impl PlayPlan {
-    /// In what time a prompt should be read: in as much more as the engines are slower.
+impl SimPlan {
+    /// The objective for a prompt, longer in proportion if the engines are slower.
     fn objective(&self) -> TimeSpan {
         TimeSpan((OBJECTIVE.0 as f64 * READ_PER_MS / self.read_per_ms) as u64)
     }
 }
 
-struct Played {
+struct SimResult {
     refused: usize,
     reading_ms: Vec<f64>,
     shared_tokens: u64,
     read_again: u64,
 }
 
-/// Plays prompts: a sixth of them long, of 420 sessions, the others short, of 3,800.
-fn play(plan: &PlayPlan) -> Played {
+/// Simulates prompts: a sixth of them long, of 420 sessions, the others short, of 3,800.
+fn play(plan: &SimPlan) -> SimResult {
     let (service, domain) = (ServiceName::from("engine"), DomainName::from("kopli"));
     let mut processes: Vec<Process> = (0..PROCESSES).map(|_| process()).collect();
     let mut free_at = vec![0.0_f64; ENGINES];
     let mut kept: Vec<HashMap<u64, u64>> = vec![HashMap::new(); ENGINES];
     let mut reports = vec![vec![WorkLoad::default(); ENGINES]; PROCESSES];
-    let mut under_way: Vec<Reading> = Vec::new();
-    let mut played = Played { refused: 0, reading_ms: Vec::new(), shared_tokens: 0, read_again: 0 };
+    let mut in_flight: Vec<PendingRead> = Vec::new();
+    let mut played =
+        SimResult { refused: 0, reading_ms: Vec::new(), shared_tokens: 0, read_again: 0 };
     let mut random = 7_u64;
     let mut draw = |most: u64| {
         random = mix_bits(random.wrapping_add(1));
@@ -105,11 +107,11 @@
     let mut read_per_ms = if plan.observes { ASSUMED_PER_MS } else { plan.read_per_ms };
     for ms in 0..plan.seconds * 1000 {
         let now = START + ms;
-        finish(&mut under_way, &mut processes, &mut paces, ms as f64);
+        finish(&mut in_flight, &mut processes, &mut paces, ms as f64);
         let told: Vec<usize> =
             (0..PROCESSES).filter(|at| (now + *at as u64 * 37).is_multiple_of(REPORT_MS)).collect();
         told.into_iter().for_each(|at| report(&mut processes, &mut reports, at));
-        // What all processes found is joined four times a second, as in a digest.
+        // The estimates of all processes are merged four times a second, as in a digest.
         if plan.observes && ms % REPORT_MS == 0 {
             read_per_ms = join_paces(paces.pace().into_iter())
                 .map_or(read_per_ms, |pace| f64::from(pace.per_ms));
@@ -129,7 +131,7 @@
             owed -= own as f64;
             let at = draw(PROCESSES as u64) as usize;
             let salt = draw(u64::MAX);
-            let ask = PlaceAsk {
+            let request = PlacementRequest {
                 service: &service,
                 engine: true,
                 prompt_tokens: shared + own,
@@ -147,13 +149,13 @@
                 lease_now: ClockTime(now),
             };
             let one = &mut processes[at];
-            let choice = choose_endpoint(&one.board, &one.prefixes, &ask).expect("one of them");
+            let choice = choose_endpoint(&one.board, &one.prefixes, &request).expect("one of them");
             one.offered.note(choice.unread, ClockTime(now));
             let queue = one.board.iter().map(|(_, fact)| fact.unread_tokens()).sum();
             let offered_per_s = one.offered.per_s() * PROCESSES as f64;
             let pressure =
-                ServicePressure { queue, engines: ENGINES as u32, offered_per_s, read_per_ms };
-            if plan.sheds && shed_until(&choice, &pressure, limit, salt).is_some() {
+                ServiceLoad { queue, engines: ENGINES as u32, offered_per_s, read_per_ms };
+            if plan.sheds && shed_delay(&choice, &pressure, limit, salt).is_some() {
                 played.refused += 1;
                 continue;
             }
@@ -163,7 +165,7 @@
             fact.own.unread_tokens += choice.unread;
             let engine = one.keys.iter().position(|key| *key == choice.key).expect("known");
             let last = kept[engine].insert(parts[0].id, now);
-            let lies_there = last.is_some_and(|at| now - at < KEPT_MS);
+            let lies_there = last.is_some_and(|at| now - at < RETENTION_MS);
             let unread = own + if lies_there { 0 } else { shared };
             let begin = free_at[engine].max(ms as f64);
             free_at[engine] = begin + unread as f64 / plan.read_per_ms * plan.slowness;
@@ -171,7 +173,7 @@
             played.shared_tokens += shared;
             played.read_again += if lies_there { 0 } else { shared };
             let done_ms = free_at[engine];
-            under_way.push(Reading {
+            in_flight.push(PendingRead {
                 process: at,
                 engine,
                 unread: choice.unread,
@@ -185,12 +187,12 @@
 }
 
 fn finish(
-    under_way: &mut Vec<Reading>,
+    in_flight: &mut Vec<PendingRead>,
     processes: &mut [Process],
     paces: &mut PaceBook,
     now_ms: f64,
 ) {
-    under_way.retain(|reading| {
+    in_flight.retain(|reading| {
         if reading.done_ms > now_ms {
             return true;
         }
@@ -205,7 +207,7 @@
     });
 }
 
-/// A process reports its work and is told what the others reported last.
+/// A process reports its work and receives what the others reported last.
 fn report(processes: &mut [Process], reports: &mut [Vec<WorkLoad>], at: usize) {
     let process = &mut processes[at];
     for (engine, key) in process.keys.iter().enumerate() {
@@ -220,13 +222,14 @@
     }
 }
 
-/// Callers wait for a second although half of the engines are idle. Processes hear of one another's
-/// work four times a second, a prompt is read in a tenth of one, and each process sends to the engine
-/// that looked idle a moment ago. When each looked at all engines, 95 in 100 prompts were read within
-/// 1159 ms and 76 in 100 shared tokens read again; of two, within 225 ms and 36 in 100.
+/// Callers wait for a second although half of the engines are idle. Processes learn of one
+/// another's work four times a second, a prompt is read in a tenth of one, and each process sends
+/// to the engine that looked idle a moment ago. When each compared all engines, 95 in 100 prompts
+/// were read within 1159 ms and 76 in 100 shared tokens read again; with two, within 225 ms and 36
+/// in 100.
 #[test]
-fn many_processes_with_old_news_do_not_run_to_one_engine() {
-    let mut played = play(&PlayPlan { seconds: 12, ..PLAN });
+fn many_processes_with_stale_loads_do_not_overload_one_engine() {
+    let mut played = play(&SimPlan { seconds: 12, ..PLAN });
 
     played.reading_ms.sort_by(f64::total_cmp);
     let late = played.reading_ms[played.reading_ms.len() * 95 / 100];
@@ -235,22 +238,22 @@
     assert!(again < 0.4, "{again}");
 }
 
-/// Most callers of an overloaded service give up: engines take everything, and each prompt waits behind
-/// more than can be read in time. With a third more than the engines can read, 11 in 100 were answered
-/// within twice their objective and 23 within four times it; refusing at once what would wait too long,
-/// 41 and 59 are.
+/// Most callers of an overloaded service give up: engines accept everything, and each prompt waits
+/// behind more than can be read in time. With a third more than the engines can read, 11 in 100
+/// were answered within twice their objective and 23 within four times it; if what would wait too
+/// long is refused at once, 41 and 59 are.
 #[test]
-fn an_overloaded_service_answers_what_it_does_not_refuse() {
-    let calm = PlayPlan { part: 1.33, slowness: 2.2, sheds: false, ..PLAN };
-    let (all, few) = (overloaded(&calm), overloaded(&PlayPlan { sheds: true, ..calm }));
+fn an_overloaded_service_answers_admitted_requests_in_time() {
+    let calm = SimPlan { part: 1.33, slowness: 2.2, sheds: false, ..PLAN };
+    let (all, few) = (overloaded(&calm), overloaded(&SimPlan { sheds: true, ..calm }));
 
     assert!(few[0] > 0.35 && few[0] > 3.0 * all[0], "{few:?} {all:?}");
     assert!(few[1] > 0.5 && few[1] > 2.0 * all[1], "{few:?} {all:?}");
 }
 
-/// Which part of the requests of an overloaded service is answered within twice and four times its
-/// objective.
-fn overloaded(plan: &PlayPlan) -> [f64; 2] {
+/// The part of the requests of an overloaded service that is answered within twice and four times
+/// its objective.
+fn overloaded(plan: &SimPlan) -> [f64; 2] {
     let played = play(plan);
     let asked = (played.reading_ms.len() + played.refused) as f64;
     [2.0, 4.0].map(|times| {
@@ -259,21 +262,16 @@
     })
 }
 
-/// Callers of slow engines are kept waiting and those of quick ones refused: no configuration tells how
-/// fast a customer's engines read. By what is seen of them, what callers get depends on the load's part of
-/// what the engines can do: within twice their objective 0.60, 0.53, 0.46 and 0.44 of the requests are
-/// answered (20, 57, 125 and 400 tokens a millisecond; 0.73, 0.61, 0.57 and 0.41 if the speed is known).
+/// Callers of slow engines are kept waiting and those of fast ones refused, because no
+/// configuration tells how fast a customer's engines read. With an estimated speed, latency depends
+/// on the load relative to the engines' capacity: within twice their objective 0.60, 0.53, 0.46 and
+/// 0.44 of the requests are answered (20, 57, 125 and 400 tokens a millisecond; 0.73, 0.61, 0.57
+/// and 0.41 if the speed is known).
 #[test]
-fn what_callers_get_does_not_depend_on_the_kind_of_engine() {
+fn latency_does_not_depend_on_the_speed_of_the_engines() {
     for read_per_ms in [20.0, 57.0, 125.0, 400.0] {
-        let plan = PlayPlan {
-            read_per_ms,
-            part: 1.33,
-            slowness: 1.5,
-            observes: true,
-            sheds: true,
-            ..PLAN
-        };
+        let plan =
+            SimPlan { read_per_ms, part: 1.33, slowness: 1.5, observes: true, sheds: true, ..PLAN };
 
         let few = overloaded(&plan);
 
@@ -281,16 +279,12 @@
     }
 }
 
-/// A service that is asked for less than its engines read.
-const CALM: ServicePressure = ServicePressure {
-    queue: 0,
-    engines: ENGINES as u32,
-    offered_per_s: 0.0,
-    read_per_ms: READ_PER_MS,
-};
+/// A service with less demand than its engines can read.
+const CALM: ServiceLoad =
+    ServiceLoad { queue: 0, engines: ENGINES as u32, offered_per_s: 0.0, read_per_ms: READ_PER_MS };
 
 #[test]
-fn the_less_urgent_are_refused_first_and_returns_are_spread() {
+fn less_urgent_requests_are_shed_first_and_retries_are_spread() {
     let service = ServiceName::from("engine");
     let (domain, one) = (DomainName::from("kopli"), process());
     let mut board = one.board;
@@ -299,7 +293,7 @@
     }
     let back_in = |rank, salt| {
         let limit = queue_limit(OBJECTIVE, rank, READ_PER_MS);
-        let ask = PlaceAsk {
+        let request = PlacementRequest {
             service: &service,
             engine: true,
             prompt_tokens: 50_000,
@@ -316,12 +310,12 @@
             now: ClockTime(START),
             lease_now: ClockTime(START),
         };
-        let choice = choose_endpoint(&board, &one.prefixes, &ask).expect("one of them");
-        shed_until(&choice, &CALM, limit, salt)
+        let choice = choose_endpoint(&board, &one.prefixes, &request).expect("one of them");
+        shed_delay(&choice, &CALM, limit, salt)
     };
 
-    // 320 ms of reading wait: too many before a request of the second rank. A long prompt of the first
-    // is taken, however long it is itself.
+    // 320 ms of reading are queued: too much for a request of the second rank. A long prompt of the
+    // first rank is admitted, however long it is itself.
     assert_eq!(back_in(0, 1), None);
     let returns: Vec<_> = (0..20).filter_map(|salt| back_in(1, salt * 31)).collect();
     assert_eq!(returns.len(), 20);
--- a/tests/all/words.rs
+++ b/tests/all/words.rs
@@ -368,5 +368,5 @@
 /// The limit that a process knows of its one endpoint.
 fn limit_of_one(process: &FrontProcess) -> Option<RequestRate> {
     let board = process.node.endpoints.borrow();
-    board.speaking().find_map(|(_, fact)| fact.said.limit.rate)
+    board.speaking().find_map(|(_, fact)| fact.declared.limit.rate)
 }
