--- a/crates/front/src/words/rates.rs
+++ b/crates/front/src/words/rates.rs
@@ -3,8 +3,8 @@
 use super::known_words;
 use crate::node::FrontNode;
 use oleander_kind::{ClockTime, InstanceId, RequestRate};
-use oleander_limit::pool::ALLOT_TIME;
-use oleander_limit::{RateKey, RatedEndpoint, own_part};
+use oleander_limit::pool::ALLOTMENT_LIFETIME;
+use oleander_limit::{LimitedEndpoint, RateKey, own_share};
 use oleander_mesh::{
     EndpointMark, MeshCollector, MeshDigest, MeshView, NodeReport, RateShare, words_mark,
 };
@@ -23,7 +23,7 @@
     if words_mark(&words) != report.words_mark {
         digest.words = Some(words);
     }
-    if !report.is_late && collector.rates().hands_out(node.clock.now()) {
+    if !report.is_late && collector.rates().grants_leases(node.clock.now()) {
         digest.rates = Some(rate_shares(node, (report, view.serving()), collector));
     }
 }
@@ -53,7 +53,7 @@
 ) -> Vec<RateShare> {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
-    let limited = board.speaking().filter_map(|(_, fact)| Some((fact, fact.said.limit.rate?)));
+    let limited = board.speaking().filter_map(|(_, fact)| Some((fact, fact.declared.limit.rate?)));
     let limited: Vec<_> = limited.filter(|(fact, _)| fact.takes_work()).collect();
     let key_of = |fact: &EndpointFact| RateKey::of(&fact.entry.instance, fact.entry.life);
     let keys: BTreeSet<RateKey> = limited.iter().map(|(fact, _)| key_of(fact)).collect();
@@ -61,7 +61,7 @@
     desk.keep(|key| keys.contains(&key));
     let part = desk.part(serving, now);
     let share = |(fact, rate): (&EndpointFact, RequestRate)| {
-        let endpoint = RatedEndpoint { key: key_of(fact), service: &fact.entry.service, rate };
+        let endpoint = LimitedEndpoint { key: key_of(fact), service: &fact.entry.service, rate };
         let per_s = desk.lease(&report.id, endpoint, (part, now))?;
         let endpoint = EndpointMark::of(&fact.entry.instance, fact.entry.life);
         Some(RateShare { endpoint, per_s: per_s as f32 })
@@ -86,21 +86,21 @@
 /// whose endpoints all named one would be refused for two seconds after each loss of the collector.
 pub(crate) fn take_own_parts(node: &FrontNode) {
     let now = node.clock.lease_now();
-    if now - node.rates_at.get() < ALLOT_TIME {
+    if now - node.rates_at.get() < ALLOTMENT_LIFETIME {
         return;
     }
     let processes = node.process_count();
-    renew_parts(node, |fact| own_part(fact.said.limit.rate?, processes), now);
+    renew_parts(node, |fact| own_share(fact.declared.limit.rate?, processes), now);
 }
 
 fn renew_parts(node: &FrontNode, part: impl Fn(&EndpointFact) -> Option<f64>, asked_at: ClockTime) {
     let now = node.clock.lease_now();
     let mut board = node.endpoints.borrow_mut();
-    let limited = board.speaking().filter(|(_, fact)| fact.said.limit.rate.is_some());
+    let limited = board.speaking().filter(|(_, fact)| fact.declared.limit.rate.is_some());
     let parts: Vec<_> = limited.filter_map(|(key, fact)| Some((key, part(fact)?))).collect();
     for (key, per_s) in parts {
         if let Some(fact) = board.get_mut(key) {
-            fact.said.bucket.renew(per_s, (asked_at, now));
+            fact.declared.bucket.renew(per_s, (asked_at, now));
         }
     }
 }
