--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use oleander_kind::{RequestRate, ServiceName};
 use oleander_list::FreshnessStamp;
-use oleander_mesh::NewsAccount;
+use oleander_mesh::PartSizes;
 use oleander_release::ReleaseTold;
 use oleander_suspect::{RequestPrint, SuspectRecord};
 use serde_json::{Value, json};
@@ -68,7 +68,7 @@
         "held_requests": dump_held(node),
         "idle_connections": node.pool.borrow().len(),
         "known_prompt_parts": node.prefixes.borrow().len(),
-        "members": mesh.view.cards().iter().take(MOST_LISTED).map(|card| card.id.as_str().to_owned()).collect::<Vec<_>>(),
+        "members": mesh.view.members().iter().take(MOST_LISTED).map(|member| member.id.as_str().to_owned()).collect::<Vec<_>>(),
         "collector": mesh.view.chosen().map(|id| id.as_str()),
         "collects": mesh.collector.is_some(),
         "lease": mesh.lease.as_ref().map(|lease| json!({
@@ -87,7 +87,7 @@
     })
 }
 
-fn dump_account(account: &NewsAccount) -> Value {
+fn dump_account(account: &PartSizes) -> Value {
     let part = |(name, bytes): &(&str, usize)| ((*name).to_owned(), json!(bytes));
     Value::Object(account.iter().map(part).collect())
 }
--- a/crates/front/src/discover.rs
+++ b/crates/front/src/discover.rs
@@ -8,7 +8,7 @@
 use crate::node::FrontNode;
 use bytes::Bytes;
 use oleander_kind::{InstanceId, TimeSpan};
-use oleander_mesh::MemberCard;
+use oleander_mesh::MemberInfo;
 use oleander_plat::{FeedGuard, FeedKind, FeedWrite, PlatError};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -46,9 +46,9 @@
 }
 
 async fn write_card(node: &FrontNode) -> oleander_plat::Result<()> {
-    let card = node.mesh.borrow().view.me().clone();
+    let member = node.mesh.borrow().view.me().clone();
     let unwritable = |fault: serde_json::Error| PlatError::NotSent(fault.to_string());
-    let body = Bytes::from(serde_json::to_vec(&card).map_err(unwritable)?);
+    let body = Bytes::from(serde_json::to_vec(&member).map_err(unwritable)?);
     let name = node.settings.instance.as_str();
     let mut guard = FeedGuard::Absent;
     loop {
@@ -61,39 +61,39 @@
 }
 
 async fn read_cards(node: &FrontNode) -> oleander_plat::Result<()> {
-    let cards = list_cards(node).await?;
+    let members = list_cards(node).await?;
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
-    event!(node, MembersRead; "cards" => cards.len());
-    cards.into_iter().for_each(|card| mesh.view.take(card, false, now));
+    event!(node, MembersRead; "cards" => members.len());
+    members.into_iter().for_each(|member| mesh.view.take(member, false, now));
     Ok(())
 }
 
-async fn list_cards(node: &FrontNode) -> oleander_plat::Result<Vec<MemberCard>> {
+async fn list_cards(node: &FrontNode) -> oleander_plat::Result<Vec<MemberInfo>> {
     let page = node.store.list(FeedKind::Members).await?;
-    let mut cards = Vec::new();
+    let mut members = Vec::new();
     for object in page.objects {
         match serde_json::from_slice(&object.body) {
-            Ok(card) => cards.push(card),
+            Ok(member) => members.push(member),
             Err(fault) => {
                 event!(node, MemberFault;
                     "member" => object.name.as_str(), "fault" => fault.to_string());
             }
         }
     }
-    Ok(cards)
+    Ok(members)
 }
 
 /// Removes the cards of members that were unknown at two looks in a row.
 async fn sweep_cards(node: &FrontNode, missing: &mut BTreeSet<InstanceId>) {
-    let Ok(cards) = list_cards(node).await else {
+    let Ok(members) = list_cards(node).await else {
         event!(node, MemberFault; "fault" => "old cards were not removed now");
         return;
     };
     let known: BTreeSet<InstanceId> =
-        node.mesh.borrow().view.cards().into_iter().map(|card| card.id).collect();
+        node.mesh.borrow().view.members().into_iter().map(|member| member.id).collect();
     let unknown: BTreeSet<InstanceId> =
-        cards.into_iter().map(|card| card.id).filter(|id| !known.contains(id)).collect();
+        members.into_iter().map(|member| member.id).filter(|id| !known.contains(id)).collect();
     for id in unknown.intersection(missing) {
         let removed = node.store.remove(FeedKind::Members, id.as_str()).await;
         event!(node, MemberRemoved;
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -86,7 +86,8 @@
     let now = node.clock.now();
     let lost = node.rules_feed.get().lost_since.is_some();
     let mesh = node.mesh.borrow();
-    let outdone = |collector: &MeshCollector| collector.is_outdone(&node.settings.instance, now);
+    let outdone =
+        |collector: &MeshCollector| collector.is_other_served(&node.settings.instance, now);
     lost && mesh.collector.as_ref().is_some_and(|collector| !outdone(collector))
 }
 
--- a/crates/front/src/duties/orders.rs
+++ b/crates/front/src/duties/orders.rs
@@ -11,7 +11,7 @@
 };
 use oleander_kind::endpoint::InstanceMarket;
 use oleander_kind::{ClockTime, DomainName, ServiceName, TimeSpan};
-use oleander_mesh::{EndpointMark, ServicePeak};
+use oleander_mesh::{EndpointHash, ServicePeak};
 use oleander_pace::ASSUMED_PER_MS;
 use oleander_plat::{DutyAnswer, DutyPort, ScaleOrder};
 use std::collections::BTreeMap;
@@ -122,7 +122,7 @@
     let board = node.endpoints.borrow();
     let facts = board.of_service(service).iter().filter_map(|key| board.get(*key));
     let running = facts
-        .map(|fact| collector.requests_at(EndpointMark::of(&fact.entry.instance, fact.entry.life)))
+        .map(|fact| collector.requests_at(EndpointHash::of(&fact.entry.instance, fact.entry.life)))
         .sum();
     if demand.requests > 0.0 {
         stand.asked_since.get_or_insert(now);
--- a/crates/front/src/evidence.rs
+++ b/crates/front/src/evidence.rs
@@ -4,7 +4,7 @@
 use compact_str::CompactString;
 use oleander_judge::{AnswerSample, EvidenceTally};
 use oleander_kind::{ClockTime, TimeSpan};
-use oleander_mesh::{EndpointEvidence, LifeMark, RouteEvidence};
+use oleander_mesh::{EndpointEvidence, IncarnationTag, RouteEvidence};
 use oleander_place::EndpointKey;
 use std::collections::HashMap;
 
@@ -140,7 +140,7 @@
     let evidence = |key: &EndpointKey, tally: &EvidenceTally| {
         // Of an endpoint that is gone nobody needs to hear.
         let entry = &board.get(*key)?.entry;
-        let (instance, life) = (entry.instance.clone(), LifeMark::of(entry.life));
+        let (instance, life) = (entry.instance.clone(), IncarnationTag::of(entry.life));
         Some(EndpointEvidence { instance, life, tally: *tally })
     };
     let all = outbox.next(node.clock.now()).iter();
--- a/crates/front/src/feeds.rs
+++ b/crates/front/src/feeds.rs
@@ -36,7 +36,7 @@
 pub async fn follow_rules(node: Rc<FrontNode>) {
     let take = |page: FeedPage, at| {
         page.objects.iter().for_each(|object| take_rules(&node, object));
-        node.rules.borrow_mut().hear(at, node.settings.instance.clone());
+        node.rules.borrow_mut().note_confirmed(at, node.settings.instance.clone());
     };
     let change = |events: Vec<FeedEvent>, _, at| {
         for event in events {
@@ -44,7 +44,7 @@
                 take_rules(&node, &object);
             }
         }
-        node.rules.borrow_mut().hear(at, node.settings.instance.clone());
+        node.rules.borrow_mut().note_confirmed(at, node.settings.instance.clone());
     };
     follow(&node, FeedKind::Rules, &node.rules_feed, take, change).await;
 }
--- a/crates/front/src/limits/keeper.rs
+++ b/crates/front/src/limits/keeper.rs
@@ -5,7 +5,7 @@
 use crate::node::FrontNode;
 use oleander_kind::ResultCode;
 use oleander_limit::{LedgerPast, PoolLedger, TOLD_LASTS};
-use oleander_mesh::{HandedLedger, HandedWindow, MeshCollector};
+use oleander_mesh::{LedgerHandover, MeshCollector, WindowHandover};
 
 /// Begins the ledger of a process that begins to collect, if it was told lately how the windows stand; if not, the store
 /// is asked first.
@@ -46,7 +46,7 @@
 /// A process that stood still for seconds collects for itself alone when it wakes, until the others come back to it. By its own
 /// ledger, which knows nothing of what they let in meanwhile, they would count here after a whole window only. What it
 /// let in itself by that ledger counts as by one that is not known.
-pub(crate) fn take_handed(node: &FrontNode, mesh: &mut MeshState, handed: &HandedLedger) {
+pub(crate) fn take_handed(node: &FrontNode, mesh: &mut MeshState, handed: &LedgerHandover) {
     let now = node.clock.now();
     let ledger = mesh.collector.as_ref().and_then(MeshCollector::ledger);
     let stays =
@@ -60,7 +60,7 @@
 
 /// Ends the ledger of a process that goes over to another collector; gives what that has to know, until it is known
 /// that one has it or may have it.
-pub(crate) fn end_ledger(node: &FrontNode) -> Option<HandedLedger> {
+pub(crate) fn end_ledger(node: &FrontNode) -> Option<LedgerHandover> {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
     if let Some(ledger) = mesh.collector.as_mut().and_then(MeshCollector::take_ledger) {
@@ -68,9 +68,9 @@
         mesh.ended_ledger = Some(ledger);
     }
     let ledger = mesh.ended_ledger.as_ref()?;
-    let handed = |(account, window)| HandedWindow { account, window };
+    let handed = |(account, window)| WindowHandover { account, window };
     let windows = ledger.hand_over(now).into_iter().map(handed).collect();
-    Some(HandedLedger { members: ledger.member_count(now), windows })
+    Some(LedgerHandover { members: ledger.member_count(now), windows })
 }
 
 /// Goes on with a ledger that was ended here and that nobody took over.
--- a/crates/front/src/limits/pay.rs
+++ b/crates/front/src/limits/pay.rs
@@ -6,7 +6,7 @@
 use oleander_call::{AccountRule, CallHead, TokenCount};
 use oleander_kind::{AccountName, TimeSpan};
 use oleander_limit::{PoolAllotment, PoolLimit};
-use oleander_mesh::{AccountClaim, LimitAsk, MeshBody};
+use oleander_mesh::{AccountClaim, LimitRequest, MeshBody};
 use oleander_wire::CallPeer;
 use tokio::time::Instant;
 
@@ -159,13 +159,13 @@
         let mesh = node.mesh.borrow();
         let me = mesh.view.me();
         let bond = node.limits.borrow().bond(node.clock.lease_now());
-        let ask = LimitAsk { id: me.id.clone(), life: me.life, bond, claim };
+        let ask = LimitRequest { id: me.id.clone(), life: me.life, bond, claim };
         let address =
             if mesh.has_ledger() { None } else { Some(mesh.ledger_address(node.clock.now())?) };
         (address, ask)
     };
     let Some(address) = collector else { return answer_ask(node, &ask) };
-    let call = CallPeer { address, body: MeshBody::Ask(ask), limit: ASK_LIMIT };
+    let call = CallPeer { address, body: MeshBody::RequestLimit(ask), limit: ASK_LIMIT };
     match node.peers.get()?.send(call).await {
         Ok(Ok(MeshBody::Allotted(allotment))) => allotment.map(|allotment| *allotment),
         Ok(Ok(_)) => None,
--- a/crates/front/src/mesh.rs
+++ b/crates/front/src/mesh.rs
@@ -28,7 +28,7 @@
 fn end_after_sleep(node: &FrontNode) {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
-    if mesh.sleep.slept(node.clock.wall(), now) && mesh.collector.is_some() {
+    if mesh.sleep.was_paused(node.clock.wall(), now) && mesh.collector.is_some() {
         mesh.end_collecting(now);
         mesh.ended_ledger = None;
         event!(node, CollectingEnded; "slept" => true);
@@ -106,7 +106,7 @@
     let outdone = mesh
         .collector
         .as_ref()
-        .is_some_and(|collector| collector.is_outdone(&node.settings.instance, now));
+        .is_some_and(|collector| collector.is_other_served(&node.settings.instance, now));
     // After an outage for all, some are served a moment before the others.
     let since = if lost && outdone { mesh.outdone_since.or(Some(now)) } else { None };
     mesh.outdone_since = since;
--- a/crates/front/src/mesh/collect.rs
+++ b/crates/front/src/mesh/collect.rs
@@ -15,8 +15,9 @@
 use oleander_limit::{PoolAllotment, PoolLimit};
 use oleander_list::RosterUpdate;
 use oleander_mesh::{
-    CollectorFacts, EndpointLife, EndpointMark, EndpointVerdict, LifeMark, LimitAsk, MemberCard,
-    MemberList, MeshBody, MeshCollector, NodeReport, settled_turn, wall_lag,
+    CollectorContext, EndpointHash, EndpointIncarnation, EndpointVerdict, IncarnationTag,
+    LimitRequest, MemberInfo, MemberList, MeshBody, MeshCollector, NodeReport, settled_term,
+    wall_lag,
 };
 use oleander_place::{EndpointFact, EndpointKey};
 use oleander_wire::PeerHandler;
@@ -44,17 +45,19 @@
         let answer = match body {
             MeshBody::Report(report) => {
                 if report.roster_update == Some(RosterUpdate::InParts) {
-                    fetch_list(&self.0, report.card.address, report.roster.mark());
+                    fetch_list(&self.0, report.member.address, report.roster.mark());
                 }
                 collect_measured(&self.0, *report)
             }
-            MeshBody::AskPart(ask) => {
+            MeshBody::RequestPart(ask) => {
                 let now = self.0.clock.now();
                 let part = self.0.roster.borrow().part(&ask, now);
                 MeshBody::Part(Box::new(part))
             }
-            MeshBody::Greet(card) => greeted(&self.0, card),
-            MeshBody::Ask(ask) => MeshBody::Allotted(answer_ask(&self.0, &ask).map(Box::new)),
+            MeshBody::Greet(member) => greeted(&self.0, member),
+            MeshBody::RequestLimit(ask) => {
+                MeshBody::Allotted(answer_ask(&self.0, &ask).map(Box::new))
+            }
             MeshBody::Digest(_)
             | MeshBody::Allotted(_)
             | MeshBody::Part(_)
@@ -67,19 +70,19 @@
 }
 
 /// Answers a process that looks for the others.
-fn greeted(node: &FrontNode, card: MemberCard) -> MeshBody {
+fn greeted(node: &FrontNode, member: MemberInfo) -> MeshBody {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
-    mesh.view.take(card, true, now);
+    mesh.view.take(member, true, now);
     let me = std::iter::once(mesh.view.me().clone());
-    let cards = me.chain(mesh.view.others().cloned()).collect();
+    let members = me.chain(mesh.view.others().cloned()).collect();
     let collector = match followed_collector(&mesh, now) {
-        Some(card) => Some(card),
+        Some(member) => Some(member),
         // One that has others to collect for; a process that just began has only itself.
         None if mesh.view.serving() > 1 && mesh.view.collects() => Some(mesh.view.me().clone()),
         None => None,
     };
-    MeshBody::Members(MemberList { cards, collector })
+    MeshBody::Members(MemberList { members, collector })
 }
 
 /// Takes a report as the collector.
@@ -97,13 +100,13 @@
     if mesh.view.me().leaving {
         return MeshBody::Leaving(mesh.view.me().clone());
     }
-    mesh.view.take(report.card.clone(), true, now);
+    mesh.view.take(report.member.clone(), true, now);
     let true_now = mesh.clock.read(now, node.clock.wall());
-    mesh.view.enter_turn(report.turn, true_now, now);
-    if let Some(card) = followed_collector(&mesh, now)
-        && !report.unreached.contains(&card.id)
+    mesh.view.enter_term(report.term, true_now, now);
+    if let Some(member) = followed_collector(&mesh, now)
+        && !report.unreached.contains(&member.id)
     {
-        return MeshBody::Follow(card);
+        return MeshBody::Follow(member);
     }
     if mesh.collector.is_none() {
         let told = told_verdicts(node);
@@ -122,7 +125,7 @@
         limits::tell_left_out(node, collector);
     }
     let roster = node.roster.borrow();
-    let facts = CollectorFacts {
+    let facts = CollectorContext {
         rules: rules.map(AsRef::as_ref),
         rules_text: known.text(),
         rules_status: known.status(now),
@@ -135,10 +138,10 @@
         suspects: &suspects,
         lease: mesh.lease.clone(),
         releases: node.releases.borrow().news(now),
-        oldest_turn: settled_turn(true_now),
+        oldest_term: settled_term(true_now),
         now,
     };
-    let status = ReporterStand::of(&report, facts.oldest_turn);
+    let status = ReporterStand::of(&report, facts.oldest_term);
     let MeshState { view, collector, .. } = &mut *mesh;
     match collector {
         Some(collector) => {
@@ -151,7 +154,7 @@
 }
 
 /// Answers a process that is short of room of an account; none if no ledger is here.
-pub(crate) fn answer_ask(node: &FrontNode, ask: &LimitAsk) -> Option<PoolAllotment> {
+pub(crate) fn answer_ask(node: &FrontNode, ask: &LimitRequest) -> Option<PoolAllotment> {
     end_after_sleep(node);
     let known = node.rules.borrow();
     let rules = known.current()?;
@@ -168,7 +171,7 @@
     let board = node.endpoints.borrow();
     let verdict = |fact: &EndpointFact| {
         let bad_trait = fact.bad_trait(now)?;
-        let (instance, life) = (fact.entry.instance.clone(), LifeMark::of(fact.entry.life));
+        let (instance, life) = (fact.entry.instance.clone(), IncarnationTag::of(fact.entry.life));
         Some(EndpointVerdict { instance, life, bad_trait })
     };
     board.iter().filter_map(|(_, fact)| verdict(fact)).collect()
@@ -178,19 +181,19 @@
 fn judge_endpoints(node: &FrontNode, collector: &mut MeshCollector, report: &NodeReport) {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
-    let knows = |(instance, life): &EndpointLife| {
+    let knows = |(instance, life): &EndpointIncarnation| {
         let fact = board.key(instance).and_then(|key| board.get(key));
-        fact.is_some_and(|fact| LifeMark::of(fact.entry.life) == *life)
+        fact.is_some_and(|fact| IncarnationTag::of(fact.entry.life) == *life)
     };
     if !collector.is_repeated(report) {
         releases::note_evidence(node, report);
-        releases::note_sent(node, &report.demand, collector.demand_before(report));
+        releases::note_sent(node, &report.demand, collector.previous_demand(report));
     }
     let left_out = collector.note_evidence(report, knows, now);
     if left_out > 0 {
         node.meter.count_evidence_left_out(left_out as u64);
         event!(node, EvidenceLeftOut;
-            "member" => report.card.id.as_str(), "count" => left_out,
+            "member" => report.member.id.as_str(), "count" => left_out,
             "code" => ResultCode::PeerBadEvidence.number());
     }
     if !collector.is_judging_due(now) {
@@ -198,16 +201,16 @@
     }
     let live = |key: &EndpointKey| board.get(*key).filter(|fact| fact.takes_work());
     let life_of =
-        |fact: &EndpointFact| (fact.entry.instance.clone(), LifeMark::of(fact.entry.life));
-    let services: Vec<Vec<EndpointLife>> = board
+        |fact: &EndpointFact| (fact.entry.instance.clone(), IncarnationTag::of(fact.entry.life));
+    let services: Vec<Vec<EndpointIncarnation>> = board
         .services()
         .map(|(_, keys)| keys.iter().filter_map(live).map(life_of).collect())
         .collect();
-    let mark_of = |fact: &EndpointFact| EndpointMark::of(&fact.entry.instance, fact.entry.life);
+    let mark_of = |fact: &EndpointFact| EndpointHash::of(&fact.entry.instance, fact.entry.life);
     let marks = board.services().map(|(service, keys)| {
         (service.clone(), keys.iter().filter_map(live).map(mark_of).collect())
     });
-    collector.list_endpoints(marks.collect());
+    collector.set_endpoints(marks.collect());
     for change in collector.judge(&services, now) {
         let (came, failed) = (change.sum.came, change.sum.failed);
         event!(node, EndpointJudged;
@@ -224,14 +227,14 @@
     if let Some(rules) = &report.rules_text {
         take_rules(node, rules);
     }
-    if report.card.id == node.settings.instance {
+    if report.member.id == node.settings.instance {
         return;
     }
     let late = {
         let (now, mesh) = (node.clock.now(), node.mesh.borrow());
         let true_now = mesh.clock.read(now, node.clock.wall());
         let unheard = || wall_lag(report.wall, true_now);
-        mesh.collector.as_ref().map_or_else(unheard, |c| c.lateness(report, true_now, now))
+        mesh.collector.as_ref().map_or_else(unheard, |c| c.report_delay(report, true_now, now))
     };
     node.rules.borrow_mut().merge_freshness(&report.rules, late, node.clock.now());
     match &report.roster_update {
--- a/crates/front/src/mesh/digest.rs
+++ b/crates/front/src/mesh/digest.rs
@@ -9,8 +9,8 @@
 use crate::words;
 use oleander_kind::{ClockTime, TimeSpan};
 use oleander_mesh::{
-    AccountAllotment, EndpointMark, EndpointVerdict, LifeMark, LoadNews, MemberCard, MeshDigest,
-    ServicePace,
+    AccountAllotment, EndpointHash, EndpointVerdict, IncarnationTag, LoadUpdate, MemberInfo,
+    MeshDigest, ServicePace,
 };
 use oleander_place::WorkLoad;
 use std::collections::HashMap;
@@ -44,15 +44,15 @@
     take_allotments(node, digest.allotments, claimed_at);
     node.usage.borrow_mut().forget(digest.reported_window);
     let mut mesh = node.mesh.borrow_mut();
-    let collector = |card: &MemberCard| (card.id.clone(), card.life);
+    let collector = |member: &MemberInfo| (member.id.clone(), member.life);
     if mesh.digest_from.as_ref().map(collector) != Some(collector(&digest.from)) {
         node.suspects.borrow_mut().tell_anew();
     }
     mesh.digest_from = Some(digest.from.clone());
     mesh.view.take(digest.from, true, now);
     match digest.members {
-        Some(members) => mesh.view.adopt(members, now),
-        None => mesh.view.confirm(now),
+        Some(members) => mesh.view.apply_members(members, now),
+        None => mesh.view.refresh_members(now),
     }
     mesh.clock.set(digest.true_time, trip, now);
     mesh.digest_at = now;
@@ -93,12 +93,12 @@
     }
 }
 
-fn take_loads(node: &FrontNode, news: &LoadNews) {
+fn take_loads(node: &FrontNode, news: &LoadUpdate) {
     let told: HashMap<_, _> = news.loads.iter().map(|load| (load.endpoint, load)).collect();
     let means: HashMap<_, _> = news.means.iter().map(|mean| (&mean.service, mean)).collect();
     let work = |requests, unread_tokens| WorkLoad { requests, unread_tokens };
     node.endpoints.borrow_mut().for_each_mut(|fact| {
-        let load = told.get(&EndpointMark::of(&fact.entry.instance, fact.entry.life));
+        let load = told.get(&EndpointHash::of(&fact.entry.instance, fact.entry.life));
         let mean = means.get(&fact.entry.service);
         fact.is_told = load.is_some() || means.is_empty();
         fact.others = match (load, mean) {
@@ -116,7 +116,7 @@
     let by_life: HashMap<_, _> =
         verdicts.iter().map(|told| ((&told.instance, told.life), told.bad_trait)).collect();
     node.endpoints.borrow_mut().for_each_mut(|fact| {
-        let life = (&fact.entry.instance, LifeMark::of(fact.entry.life));
+        let life = (&fact.entry.instance, IncarnationTag::of(fact.entry.life));
         fact.aside = by_life.get(&life).map(|bad_trait| (*bad_trait, until));
     });
 }
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -7,8 +7,8 @@
 use oleander_kind::{AccountName, ClockTime, ServiceName, TimeSpan};
 use oleander_limit::HoldClaim;
 use oleander_mesh::{
-    AccountClaim, EndpointLoad, EndpointMark, HandedLedger, NodeReport, NodeUsage, ServiceDemand,
-    ServicePace, UsageCount, words_mark,
+    AccountClaim, EndpointHash, EndpointLoad, LedgerHandover, NodeReport, NodeUsage, ServiceDemand,
+    ServicePace, UsageCount, signals_hash,
 };
 use oleander_pace::PaceBook;
 
@@ -17,7 +17,7 @@
     /// Nothing: it goes to a process that may not collect.
     Nothing,
     /// Claims, and the ledger that this process kept until now if it kept one.
-    Claims(Option<HandedLedger>),
+    Claims(Option<LedgerHandover>),
 }
 
 /// This process's report.
@@ -39,10 +39,10 @@
     let rules_text = mesh.wants_rules.then(|| node.rules.borrow().text().cloned()).flatten();
     let (evidence, route_evidence) = own_evidence(node);
     NodeReport {
-        card: mesh.view.me().clone(),
+        member: mesh.view.me().clone(),
         wall: node.clock.wall(),
-        turn: mesh.view.turn(),
-        members_mark: mesh.view.mark(),
+        term: mesh.view.term(),
+        members_hash: mesh.view.members_hash(),
         served: node.rules_feed.get().is_served() && node.endpoints_feed.get().is_served(),
         rules: node.rules.borrow().status(node.clock.now()),
         roster: roster.status(node.clock.now()),
@@ -56,12 +56,12 @@
         paces: own_paces(node),
         evidence,
         words: words::next_told(node),
-        words_mark: words_mark(&words::known_words(node)),
+        signals_hash: signals_hash(&words::known_words(node)),
         route_evidence,
         releases: node.releases.borrow().book.followed(),
         suspects: suspects.next_told(node.clock.now()),
-        suspects_mark: suspects.shared_mark(),
-        heritage: heritage_of(&mesh, node.clock.now()),
+        suspects_hash: suspects.shared_mark(),
+        inherited_usage: heritage_of(&mesh, node.clock.now()),
         unreached: mesh.view.unreached(node.clock.now()),
         rules_text,
         roster_update,
@@ -76,7 +76,7 @@
     /// Long enough for the successor to be chosen and heard.
     const PASSED_ON: TimeSpan = TimeSpan(3000);
     let leaving = mesh.view.me().leaving;
-    match (&mesh.collector, &mesh.heritage) {
+    match (&mesh.collector, &mesh.inherited_usage) {
         (Some(collector), _) if leaving => collector.usage(),
         (_, Some((usage, since))) if now - *since < PASSED_ON => usage.clone(),
         _ => Vec::new(),
@@ -95,7 +95,7 @@
     let board = node.endpoints.borrow();
     let busy = board.iter().filter(|(_, fact)| fact.own.requests > 0);
     let load = |fact: &oleander_place::EndpointFact| EndpointLoad {
-        endpoint: EndpointMark::of(&fact.entry.instance, fact.entry.life),
+        endpoint: EndpointHash::of(&fact.entry.instance, fact.entry.life),
         requests: fact.own.requests,
         unread_tokens: fact.own.unread_tokens,
     };
--- a/crates/front/src/mesh/parts.rs
+++ b/crates/front/src/mesh/parts.rs
@@ -59,7 +59,7 @@
 ) -> PartStep {
     let Some(hub) = node.peers.get() else { return PartStep::TooOld };
     let asked_at = node.clock.now();
-    let call = (address.to_string().into(), MeshBody::AskPart(ask));
+    let call = (address.to_string().into(), MeshBody::RequestPart(ask));
     match call_peer(node, hub, call, PART_LIMIT).await {
         Some(MeshBody::Part(part)) => book.take(*part, mark, (asked_at, node.clock.now())),
         _ => PartStep::TooOld,
@@ -69,10 +69,10 @@
 /// A peer of the same failure domain, if there is one: bytes between domains are paid for.
 fn peer_by_lot(node: &FrontNode) -> Option<SocketAddr> {
     let mesh = node.mesh.borrow();
-    let open: Vec<_> = mesh.view.others().filter(|card| !card.leaving).collect();
+    let open: Vec<_> = mesh.view.others().filter(|member| !member.leaving).collect();
     let near: Vec<_> =
-        open.iter().filter(|card| card.domain == node.settings.domain).copied().collect();
+        open.iter().filter(|member| member.domain == node.settings.domain).copied().collect();
     let from = if near.is_empty() { open } else { near };
     let at = node.random() as usize % from.len().max(1);
-    from.get(at).map(|card| card.address)
+    from.get(at).map(|member| member.address)
 }
--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -13,7 +13,7 @@
 use oleander_kind::{ClockTime, TimeSpan};
 use oleander_limit::ANSWER_TIME;
 use oleander_list::RosterUpdate;
-use oleander_mesh::{MemberCard, MemberList, MeshBody, MeshCollector, NodeReport};
+use oleander_mesh::{MemberInfo, MemberList, MeshBody, MeshCollector, NodeReport};
 use oleander_wire::{CallPeer, ForgetPeer, PeerHub};
 use std::rc::Rc;
 
@@ -71,13 +71,13 @@
             let true_now = mesh.clock.read(now, node.clock.wall());
             let before = mesh.view.chosen().cloned();
             if before.as_ref().is_some_and(|id| mesh.is_from(id, now)) {
-                mesh.view.stay(true_now);
+                mesh.view.keep_collector(true_now);
             }
-            let card = mesh.view.choose_collector(true_now, now);
-            if before.as_ref() != Some(&card.id) {
-                event!(node, CollectorChosen; "collector" => card.id.as_str());
+            let member = mesh.view.choose_collector(true_now, now);
+            if before.as_ref() != Some(&member.id) {
+                event!(node, CollectorChosen; "collector" => member.id.as_str());
             }
-            card
+            member
         };
         if collector.id == node.settings.instance {
             report_here(node).await;
@@ -109,7 +109,7 @@
 async fn report_to(
     node: &Rc<FrontNode>,
     hub: &Addr<PeerHub<MeshBody>>,
-    collector: &MemberCard,
+    collector: &MemberInfo,
 ) -> bool {
     let is_sure = {
         let mesh = node.mesh.borrow();
@@ -189,30 +189,30 @@
 }
 
 /// Goes by the collector that another process named.
-fn follow_collector(mesh: &mut MeshState, node: &FrontNode, card: MemberCard) {
+fn follow_collector(mesh: &mut MeshState, node: &FrontNode, member: MemberInfo) {
     let now = node.clock.now();
     let true_now = mesh.clock.read(now, node.clock.wall());
-    event!(node, CollectorChosen; "collector" => card.id.as_str(), "sent" => true);
-    mesh.view.follow(card, true_now, now);
+    event!(node, CollectorChosen; "collector" => member.id.as_str(), "sent" => true);
+    mesh.view.follow_collector(member, true_now, now);
 }
 
 fn take_members(node: &FrontNode, list: MemberList) {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
     // The first is the seed itself.
-    for (at, card) in list.cards.into_iter().enumerate() {
-        mesh.view.take(card, at == 0, now);
+    for (at, member) in list.members.into_iter().enumerate() {
+        mesh.view.take(member, at == 0, now);
     }
     let undecided = mesh.view.chosen().is_none();
-    if let Some(card) = list.collector.filter(|_| undecided) {
-        follow_collector(&mut mesh, node, card);
+    if let Some(member) = list.collector.filter(|_| undecided) {
+        follow_collector(&mut mesh, node, member);
     }
 }
 
 async fn call_collector(
     node: &Rc<FrontNode>,
     hub: &Addr<PeerHub<MeshBody>>,
-    collector: &MemberCard,
+    collector: &MemberInfo,
     (report, claimed_at): (NodeReport, ClockTime),
 ) -> bool {
     let again = report.clone();
@@ -228,7 +228,7 @@
     }
     if outcome == CallOutcome::Failed {
         event!(node, CollectorSilent; "collector" => collector.id.as_str());
-        node.mesh.borrow_mut().view.shun(&collector.id, node.clock.now());
+        node.mesh.borrow_mut().view.mark_unresponsive(&collector.id, node.clock.now());
     }
     outcome == CallOutcome::Taken
 }
@@ -262,21 +262,21 @@
             take_digest(node, *digest, (node.clock.now() - sent_at, claimed_at));
             CallOutcome::Taken
         }
-        Some(MeshBody::Leaving(card)) => {
-            node.mesh.borrow_mut().view.take(card, true, node.clock.now());
+        Some(MeshBody::Leaving(member)) => {
+            node.mesh.borrow_mut().view.take(member, true, node.clock.now());
             CallOutcome::Elsewhere
         }
-        Some(MeshBody::Follow(card)) => {
-            follow_collector(&mut node.mesh.borrow_mut(), node, card);
+        Some(MeshBody::Follow(member)) => {
+            follow_collector(&mut node.mesh.borrow_mut(), node, member);
             CallOutcome::Elsewhere
         }
         Some(
             MeshBody::Report(_)
             | MeshBody::Greet(_)
             | MeshBody::Members(_)
-            | MeshBody::Ask(_)
+            | MeshBody::RequestLimit(_)
             | MeshBody::Allotted(_)
-            | MeshBody::AskPart(_)
+            | MeshBody::RequestPart(_)
             | MeshBody::Part(_),
         )
         | None => CallOutcome::Failed,
--- a/crates/front/src/mesh/state.rs
+++ b/crates/front/src/mesh/state.rs
@@ -6,8 +6,8 @@
 use oleander_limit::PoolLedger;
 use oleander_list::RosterStatus;
 use oleander_mesh::{
-    LeaseNotice, MemberCard, MeshCollector, MeshView, NodeUsage, ServicePace, ServicePeak,
-    SleepWatch, TrueClock,
+    LeaseNotice, MemberInfo, MeshCollector, MeshView, NodeUsage, PauseDetector, ServicePace,
+    ServicePeak, TrueClock,
 };
 
 /// A digest speaks for the present for this long: four periods.
@@ -29,15 +29,15 @@
     pub peaks: Vec<ServicePeak>,
     /// How fast all processes together saw engines read.
     pub paces: Vec<ServicePace>,
-    pub(super) sleep: SleepWatch,
+    pub(super) sleep: PauseDetector,
     /// Counts that were reported here while this process collected, and since when they are passed
     /// on to its successor.
-    pub(super) heritage: Option<(Vec<NodeUsage>, ClockTime)>,
+    pub(super) inherited_usage: Option<(Vec<NodeUsage>, ClockTime)>,
     /// The ledger that was ended here, until another collector has it or may have it.
     pub(crate) ended_ledger: Option<PoolLedger>,
     pub(super) outdone_since: Option<ClockTime>,
     pub(super) digest_at: ClockTime,
-    pub(super) digest_from: Option<MemberCard>,
+    pub(super) digest_from: Option<MemberInfo>,
     pub(super) wants_rules: bool,
     /// How the collector's endpoint list stands, if it asked for what it lacks.
     pub(super) wants_roster: Option<RosterStatus>,
@@ -50,7 +50,7 @@
 
 impl MeshState {
     /// A process that knows itself.
-    pub fn new(me: MemberCard) -> Self {
+    pub fn new(me: MemberInfo) -> Self {
         MeshState {
             view: MeshView::new(me),
             collector: None,
@@ -59,8 +59,8 @@
             reported_window: 0,
             peaks: Vec::new(),
             paces: Vec::new(),
-            sleep: SleepWatch::default(),
-            heritage: None,
+            sleep: PauseDetector::default(),
+            inherited_usage: None,
             ended_ledger: None,
             outdone_since: None,
             digest_at: ClockTime(0),
@@ -76,15 +76,15 @@
     /// Ends the collecting; what was counted is passed on for a while.
     pub(super) fn end_collecting(&mut self, now: ClockTime) {
         let usage = self.collector.take().map(|ended| ended.usage()).unwrap_or_default();
-        self.heritage = Some((usage, now));
+        self.inherited_usage = Some((usage, now));
     }
 
     /// Where the process listens that answered last; if that was long ago, the one that this process chose.
     pub fn ledger_address(&self, now: ClockTime) -> Option<CompactString> {
         let last = self.digest_from.as_ref().filter(|_| now - self.digest_at < DIGEST_LASTS);
-        let chosen = || self.view.others().find(|card| Some(&card.id) == self.view.chosen());
-        let card = last.or_else(chosen)?;
-        Some(card.address.to_string().into())
+        let chosen = || self.view.others().find(|member| Some(&member.id) == self.view.chosen());
+        let member = last.or_else(chosen)?;
+        Some(member.address.to_string().into())
     }
 
     /// Whether this process keeps the ledger of limits.
@@ -95,7 +95,7 @@
     /// Whether the last answer came from this process, a moment ago.
     pub fn is_from(&self, id: &InstanceId, now: ClockTime) -> bool {
         let last = self.digest_from.as_ref().filter(|_| now - self.digest_at < DIGEST_LASTS);
-        last.is_some_and(|card| card.id == *id)
+        last.is_some_and(|member| member.id == *id)
     }
 
     /// Whether another process collects, and this one goes by it.
@@ -108,8 +108,8 @@
 ///
 /// After a cut heals, processes on its two sides know different collectors. Who is asked to collect
 /// although it reports to another names that one, so that they find together.
-pub(super) fn followed_collector(mesh: &MeshState, now: ClockTime) -> Option<MemberCard> {
+pub(super) fn followed_collector(mesh: &MeshState, now: ClockTime) -> Option<MemberInfo> {
     let present = now - mesh.digest_at < DIGEST_LASTS;
-    let from = mesh.digest_from.as_ref().filter(|card| card.id != mesh.view.me().id)?;
+    let from = mesh.digest_from.as_ref().filter(|member| member.id != mesh.view.me().id)?;
     (present && !mesh.view.collects()).then(|| from.clone())
 }
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -19,7 +19,7 @@
 use oleander_kind::{AccountName, ClockTime, ServiceName, TimeSpan};
 use oleander_limit::PoolGate;
 use oleander_list::{RosterReplica, StalenessLimits};
-use oleander_mesh::{MemberCard, MeshBody, RulesBook, ServiceDemand, collect_strength};
+use oleander_mesh::{MemberInfo, MeshBody, RulesBook, ServiceDemand, collector_capacity};
 use oleander_outlet::{HttpCodec, LinkPool};
 use oleander_pace::{ASSUMED_PER_MS, PaceBook, ReadPace, ReadSample};
 use oleander_place::{
@@ -138,14 +138,14 @@
         store: Box<dyn FeedStore>,
         clock: NodeClock,
     ) -> Rc<Self> {
-        let me = MemberCard {
+        let me = MemberInfo {
             id: settings.instance.clone(),
             domain: settings.domain.clone(),
             address: settings.peer,
             life: clock.wall().0,
             leaving: false,
             unfit: false,
-            strength: collect_strength(settings.link_mbps, settings.cores),
+            capacity: collector_capacity(settings.link_mbps, settings.cores),
             edition: 0,
         };
         let window = TimeSpan((settings.bounds.usage_window_s * 1000.0) as u64);
@@ -223,7 +223,7 @@
 
     /// How many processes serve callers, this one included, as far as it is known.
     pub fn process_count(&self) -> u32 {
-        self.mesh.borrow().view.sharers(self.seeds.borrow().len() as u32)
+        self.mesh.borrow().view.limit_sharers(self.seeds.borrow().len() as u32)
     }
 
     /// Peers to ask if no other is known.
--- a/crates/front/src/releases/keep.rs
+++ b/crates/front/src/releases/keep.rs
@@ -7,7 +7,7 @@
 use crate::node::FrontNode;
 use compact_str::CompactString;
 use oleander_kind::{ClockTime, ServiceName, TimeSpan};
-use oleander_mesh::EndpointMark;
+use oleander_mesh::EndpointHash;
 use oleander_plat::{FeedAnswer, FeedEvent, FeedKind, FeedObject, FeedWrite, PlatError};
 use oleander_release::{
     ExposureBounds, OrderEntry, OrderFault, PlanAction, PlanFacts, ReleasePlan, ReleaseStage,
@@ -293,11 +293,11 @@
         ReleaseStage::Moving { full_at } => {
             let facts = board.of_service(service).iter().filter_map(|key| board.get(*key));
             let former = facts.filter(|fact| fact.entry.release != order.to);
-            let marks: BTreeSet<EndpointMark> = former
-                .map(|fact| EndpointMark::of(&fact.entry.instance, fact.entry.life))
+            let marks: BTreeSet<EndpointHash> = former
+                .map(|fact| EndpointHash::of(&fact.entry.instance, fact.entry.life))
                 .collect();
             let plan = (service, running.plan.number());
-            collector.have_left(&mesh.view, (plan, &marks), full_at + REPORT_MARGIN)
+            collector.all_left_version(&mesh.view, (plan, &marks), full_at + REPORT_MARGIN)
         }
         _ => false,
     };
--- a/crates/front/src/words/rates.rs
+++ b/crates/front/src/words/rates.rs
@@ -6,7 +6,7 @@
 use oleander_limit::pool::ALLOT_TIME;
 use oleander_limit::{RateKey, RatedEndpoint, own_part};
 use oleander_mesh::{
-    EndpointMark, MeshCollector, MeshDigest, MeshView, NodeReport, RateShare, words_mark,
+    EndpointHash, MeshCollector, MeshDigest, MeshView, NodeReport, RateShare, signals_hash,
 };
 use oleander_place::EndpointFact;
 use std::collections::{BTreeSet, HashMap};
@@ -20,7 +20,7 @@
     digest: &mut MeshDigest,
 ) {
     let words = known_words(node);
-    if words_mark(&words) != report.words_mark {
+    if signals_hash(&words) != report.signals_hash {
         digest.words = Some(words);
     }
     if !report.is_late && collector.rates().hands_out(node.clock.now()) {
@@ -31,17 +31,17 @@
 /// What an answer about words goes by.
 pub(crate) struct ReporterStand {
     id: InstanceId,
-    words_mark: u64,
+    signals_hash: u64,
     is_late: bool,
 }
 
 impl ReporterStand {
-    /// That of a report; one of a turn before `oldest_turn` was sent long ago.
-    pub(crate) fn of(report: &NodeReport, oldest_turn: u64) -> Self {
+    /// That of a report; one of a turn before `oldest_term` was sent long ago.
+    pub(crate) fn of(report: &NodeReport, oldest_term: u64) -> Self {
         ReporterStand {
-            id: report.card.id.clone(),
-            words_mark: report.words_mark,
-            is_late: report.turn < oldest_turn,
+            id: report.member.id.clone(),
+            signals_hash: report.signals_hash,
+            is_late: report.term < oldest_term,
         }
     }
 }
@@ -63,7 +63,7 @@
     let share = |(fact, rate): (&EndpointFact, RequestRate)| {
         let endpoint = RatedEndpoint { key: key_of(fact), service: &fact.entry.service, rate };
         let per_s = desk.lease(&report.id, endpoint, (part, now))?;
-        let endpoint = EndpointMark::of(&fact.entry.instance, fact.entry.life);
+        let endpoint = EndpointHash::of(&fact.entry.instance, fact.entry.life);
         Some(RateShare { endpoint, per_s: per_s as f32 })
     };
     limited.into_iter().filter_map(share).collect()
@@ -76,7 +76,7 @@
     let by_endpoint: HashMap<_, _> =
         rates.iter().map(|share| (share.endpoint, share.per_s)).collect();
     let part = |fact: &EndpointFact| {
-        let mark = EndpointMark::of(&fact.entry.instance, fact.entry.life);
+        let mark = EndpointHash::of(&fact.entry.instance, fact.entry.life);
         by_endpoint.get(&mark).map(|per_s| f64::from(*per_s))
     };
     renew_parts(node, part, claimed_at);
--- a/crates/front/src/words/tell.rs
+++ b/crates/front/src/words/tell.rs
@@ -7,21 +7,21 @@
 use super::{WordSource, hear_limit, note_leaving};
 use crate::node::FrontNode;
 use oleander_kind::{ClockTime, TimeSpan};
-use oleander_mesh::EndpointWords;
+use oleander_mesh::EndpointSignals;
 use oleander_place::{EndpointFact, LimitWord};
 use oleander_suspect::EndedLife;
 use std::collections::HashMap;
 
 /// What this process knows that endpoints said of themselves.
-pub(crate) fn known_words(node: &FrontNode) -> Vec<EndpointWords> {
+pub(crate) fn known_words(node: &FrontNode) -> Vec<EndpointSignals> {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
     board.speaking().filter_map(|(_, fact)| words_of(fact, now)).collect()
 }
 
-fn words_of(fact: &EndpointFact, now: ClockTime) -> Option<EndpointWords> {
+fn words_of(fact: &EndpointFact, now: ClockTime) -> Option<EndpointSignals> {
     let LimitWord { rate, asked_at } = fact.said.limit;
-    fact.said.is_shared().then(|| EndpointWords {
+    fact.said.is_shared().then(|| EndpointSignals {
         instance: fact.entry.instance.clone(),
         life: fact.entry.life,
         limit: rate,
@@ -36,7 +36,7 @@
 }
 
 /// Takes what another process tells, `late` after it was written at the most.
-pub(crate) fn take_told(node: &FrontNode, told: &[EndpointWords], late: TimeSpan) {
+pub(crate) fn take_told(node: &FrontNode, told: &[EndpointSignals], late: TimeSpan) {
     let now = node.clock.now();
     for words in told {
         if words.leaves {
@@ -56,9 +56,9 @@
 }
 
 /// Takes all that the collector knows, and notes what of it is out of date.
-pub(crate) fn take_all(node: &FrontNode, told: &[EndpointWords], late: TimeSpan) {
+pub(crate) fn take_all(node: &FrontNode, told: &[EndpointSignals], late: TimeSpan) {
     take_told(node, told, late);
-    let state = |words: &EndpointWords| SaidState { limit: words.limit, leaves: words.leaves };
+    let state = |words: &EndpointSignals| SaidState { limit: words.limit, leaves: words.leaves };
     let told: HashMap<_, _> =
         told.iter().map(|words| ((&words.instance, words.life), state(words))).collect();
     let board = node.endpoints.borrow();
@@ -71,7 +71,7 @@
 }
 
 /// What of it the next report tells.
-pub(crate) fn next_told(node: &FrontNode) -> Vec<EndpointWords> {
+pub(crate) fn next_told(node: &FrontNode) -> Vec<EndpointSignals> {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
     let keys = node.words.borrow_mut().next_told(|key| board.get(key).map(said_of));
--- a/crates/mesh/src/clock.rs
+++ b/crates/mesh/src/clock.rs
@@ -1,12 +1,12 @@
-//! True time, from clocks of which some are wrong.
+//! True time, from clocks some of which are wrong.
 //!
-//! Usage windows begin at fixed true times, and a machine's time of day may jump by seconds and back.
-//! The middle of all members' clocks stays right as long as fewer than half of them jump together;
-//! between two digests only steady clocks count.
+//! Usage windows begin at fixed true times, but a machine's wall clock may jump by seconds and
+//! back. The median of all members' clocks stays right as long as fewer than half of them jump
+//! together; between two digests only monotonic clocks are used.
 
 use oleander_kind::{ClockTime, TimeSpan};
 
-/// The middle of `offsets`; none if there are none.
+/// The median of `offsets`; `None` if it is empty.
 pub fn median_offset(mut offsets: Vec<i64>) -> Option<i64> {
     let middle = offsets.len() / 2;
     if offsets.is_empty() {
@@ -16,24 +16,24 @@
     Some(*median)
 }
 
-/// How far a clock that says `wall` is ahead of a steady clock that says `now`.
+/// The offset of a wall clock that reads `wall` from a monotonic clock that reads `now`.
 pub fn wall_offset(wall: ClockTime, now: ClockTime) -> i64 {
     wall.0 as i64 - now.0 as i64
 }
 
-/// True time by a steady clock and an offset.
+/// True time, kept as an offset from the monotonic clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrueClock {
     offset: Option<i64>,
 }
 
 impl TrueClock {
-    /// Takes true time as a digest told it; `trip` is how long the exchange took.
+    /// Sets true time from a digest; `trip` is the duration of the exchange.
     pub fn set(&mut self, true_time: ClockTime, trip: TimeSpan, now: ClockTime) {
         self.offset = Some(wall_offset(true_time + TimeSpan(trip.0 / 2), now));
     }
 
-    /// True time at `now`; `wall`, the own time of day, until something better was heard.
+    /// True time at `now`, or `wall`, the local wall clock, if no digest was received yet.
     pub fn read(&self, now: ClockTime, wall: ClockTime) -> ClockTime {
         match self.offset {
             Some(offset) => ClockTime((now.0 as i64 + offset).max(0) as u64),
@@ -42,34 +42,37 @@
     }
 }
 
-/// Notices that this process stood still. While its machine is suspended its steady clock does not count, its time of
-/// day does; while it alone is stopped, both do, and it looks later than it meant to.
+/// Detects that this process did not run for a while. While its machine is suspended the monotonic
+/// clock stops and the wall clock does not; while the process alone is stopped both clocks go on,
+/// and the next check is late.
 ///
-/// A collector that stood still for seconds takes its accounts' windows and its reports for new when
-/// it wakes, while another collects. It has to begin anew. A time of day that was set looks the same,
-/// and beginning anew costs little then.
+/// A collector that resumes after seconds would treat its accounts' windows and its reports as
+/// current although another process collects by now. It has to start over. Setting the wall clock
+/// looks the same, and starting over costs little then.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SleepWatch {
+pub struct PauseDetector {
     offset: Option<i64>,
-    looked_at: Option<ClockTime>,
+    checked_at: Option<ClockTime>,
 }
 
-impl SleepWatch {
-    /// Whether the process stood still since the last look. It looks several times a second.
-    pub fn slept(&mut self, wall: ClockTime, now: ClockTime) -> bool {
-        /// Longer than a collector is silent before its reporters leave it, in milliseconds.
-        const LONG: u64 = 800;
-        /// The same between two looks. They are up to 0.9 s apart while a process asks for others that are gone.
-        const LATE: TimeSpan = TimeSpan(2000);
+impl PauseDetector {
+    /// Whether the process was suspended or stopped since the last check. Called several times a
+    /// second.
+    pub fn was_paused(&mut self, wall: ClockTime, now: ClockTime) -> bool {
+        /// Longer than a collector may be silent before its reporters leave it, in milliseconds.
+        const MAX_OFFSET_CHANGE_MS: u64 = 800;
+        /// The same between two checks. They are up to 0.9 s apart while a process calls peers that
+        /// are gone.
+        const MAX_CHECK_GAP: TimeSpan = TimeSpan(2000);
         let offset = wall_offset(wall, now);
         let last = self.offset.replace(offset);
-        let looked_at = self.looked_at.replace(now);
-        let was_suspended = last.is_some_and(|last| offset.abs_diff(last) > LONG);
-        was_suspended || looked_at.is_some_and(|at| now - at > LATE)
+        let checked_at = self.checked_at.replace(now);
+        let was_suspended = last.is_some_and(|last| offset.abs_diff(last) > MAX_OFFSET_CHANGE_MS);
+        was_suspended || checked_at.is_some_and(|at| now - at > MAX_CHECK_GAP)
     }
 }
 
-/// How far a clock that says `wall` is behind true time.
+/// How far a wall clock that reads `wall` is behind true time.
 pub fn wall_lag(wall: ClockTime, true_now: ClockTime) -> TimeSpan {
     true_now - wall
 }
--- a/crates/mesh/src/collector.rs
+++ b/crates/mesh/src/collector.rs
@@ -1,11 +1,11 @@
-//! What the collector makes of the reports.
+//! The collector's state, built from the reports.
 
 use crate::clock::{median_offset, wall_offset};
-use crate::evidence::{EndpointJudge, EndpointLife, VerdictChange};
+use crate::evidence::{EndpointIncarnation, OutlierDetector, VerdictChange};
 use crate::limit_message::AccountAllotment;
-use crate::loads::{LoadNews, LoadTable, REPORT_LASTS};
+use crate::loads::{LoadTable, LoadUpdate, REPORT_LIFETIME};
 use crate::message::{
-    EndpointMark, EndpointVerdict, LeaseNotice, MemberCard, MeshDigest, NodeReport, NodeUsage,
+    EndpointHash, EndpointVerdict, LeaseNotice, MemberInfo, MeshDigest, NodeReport, NodeUsage,
     RulesStatus, ServiceDemand, ServicePace, ServicePeak, UsageCount,
 };
 use crate::view::MeshView;
@@ -19,59 +19,59 @@
 use oleander_suspect::SuspectBook;
 use std::collections::BTreeMap;
 
-/// Between two lists of the members to one process, for each member on it.
-const MEMBER_PAUSE: TimeSpan = TimeSpan(5);
-/// Time over which demand is averaged.
-const DEMAND_TIME: TimeSpan = TimeSpan(2000);
+/// Least time between two member lists to the same process, per listed member.
+const MEMBER_LIST_PERIOD: TimeSpan = TimeSpan(5);
+/// The time constant over which demand is averaged.
+const DEMAND_TIME_CONSTANT: TimeSpan = TimeSpan(2000);
 
-/// What the collector's own process knows when it answers.
-pub struct CollectorFacts<'a> {
-    /// The rules in force there.
+/// The state of the collector's own process, needed to answer a report.
+pub struct CollectorContext<'a> {
+    /// The rules in force.
     pub rules: Option<&'a RuleSet>,
     /// The text of these rules.
     pub rules_text: Option<&'a FeedObject>,
-    /// How it stands with the rules.
+    /// The status of the rules.
     pub rules_status: RulesStatus,
-    /// Its endpoint list.
+    /// The endpoint list.
     pub roster: &'a RosterReplica,
-    /// Names this life of its process among collectors.
+    /// Identifies this incarnation of the process among collectors.
     pub source: u64,
-    /// The limit of an account of the rules.
+    /// The limit of an account in the rules.
     pub limit_of: &'a dyn Fn(&AccountName) -> Option<PoolLimit>,
     /// Usage windows up to this number are reported.
     pub reported_window: u64,
-    /// What services needed of late.
+    /// Recent peak needs of services.
     pub peaks: Vec<ServicePeak>,
-    /// How fast engines read, as it was told before it collected.
+    /// The prefill speed of engines, as known before this process collected.
     pub paces: Vec<ServicePace>,
-    /// Requests under which endpoints ended.
+    /// Requests during which endpoints ended.
     pub suspects: &'a SuspectBook,
     /// The lease as last seen.
     pub lease: Option<LeaseNotice>,
     /// The roll-outs under way.
     pub releases: ReleaseNews,
-    /// Reports of an earlier turn than this were sent long ago.
-    pub oldest_turn: u64,
-    /// The time.
+    /// Reports of an earlier term than this are stale.
+    pub oldest_term: u64,
+    /// The current time.
     pub now: ClockTime,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct HeardNode {
+pub(crate) struct ReportedNode {
     pub(crate) report: NodeReport,
     pub(crate) heard_at: ClockTime,
     offset: i64,
-    members_told_at: Option<ClockTime>,
+    members_sent_at: Option<ClockTime>,
 }
 
-/// What a service is asked for, all processes together.
+/// The demand for a service, summed over all processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DemandRate {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
-    /// Prompt tokens a second that have to be read.
+    /// Prompt tokens per second that need prefill.
     pub unread_tokens: f64,
-    /// Answer tokens a second.
+    /// Answer tokens per second.
     pub answer_tokens: f64,
 }
 
@@ -79,20 +79,20 @@
 
 /// The collector's state.
 pub struct MeshCollector {
-    /// Absent until it is known what was handed out before, and once it was passed on.
+    /// `None` until the earlier allotments are known, and after the ledger was handed over.
     pub(crate) ledger: Option<PoolLedger>,
     pub(crate) claims_left_out: u64,
-    pub(crate) nodes: BTreeMap<InstanceId, HeardNode>,
+    pub(crate) nodes: BTreeMap<InstanceId, ReportedNode>,
     usage: UsageTable,
     demand: BTreeMap<ServiceName, (DemandRate, ClockTime)>,
-    judge: EndpointJudge,
+    judge: OutlierDetector,
     loads: LoadTable,
     rates: RateDesk,
     began_at: ClockTime,
 }
 
 impl MeshCollector {
-    /// Begins to collect, without a ledger yet.
+    /// Starts to collect, without a ledger yet.
     pub fn begin(now: ClockTime) -> Self {
         MeshCollector {
             ledger: None,
@@ -100,25 +100,25 @@
             nodes: BTreeMap::new(),
             usage: BTreeMap::new(),
             demand: BTreeMap::new(),
-            judge: EndpointJudge::default(),
+            judge: OutlierDetector::default(),
             loads: LoadTable::default(),
             rates: RateDesk::default(),
             began_at: now,
         }
     }
 
-    /// Goes on from the endpoints that the collector before had set aside.
+    /// Sets the endpoints that the previous collector had ejected.
     pub fn with_verdicts(self, told: impl Iterator<Item = EndpointVerdict>) -> Self {
-        let judge = EndpointJudge::begin(told, self.began_at);
+        let judge = OutlierDetector::begin(told, self.began_at);
         MeshCollector { judge, ..self }
     }
 
-    /// Takes what a report that is to be taken next tells of endpoints; gives how much of it was left out. A
-    /// report that is sent a second time counts once.
+    /// Adds the endpoint observations of a report that has not been handled yet; returns how many
+    /// were left out. A report that is sent twice counts once.
     pub fn note_evidence(
         &mut self,
         report: &NodeReport,
-        knows: impl Fn(&EndpointLife) -> bool,
+        knows: impl Fn(&EndpointIncarnation) -> bool,
         now: ClockTime,
     ) -> usize {
         if self.is_repeated(report) {
@@ -127,145 +127,155 @@
         self.judge.note(report, knows, now)
     }
 
-    /// Whether endpoints are to be compared again.
+    /// Whether endpoints are due to be compared again.
     pub fn is_judging_due(&self, now: ClockTime) -> bool {
         self.judge.is_due(now)
     }
 
-    /// Compares the endpoints of each service; gives what changed.
-    pub fn judge(&mut self, services: &[Vec<EndpointLife>], now: ClockTime) -> Vec<VerdictChange> {
+    /// Compares the endpoints of each service; returns the changed verdicts.
+    pub fn judge(
+        &mut self,
+        services: &[Vec<EndpointIncarnation>],
+        now: ClockTime,
+    ) -> Vec<VerdictChange> {
         self.judge.judge(services, now)
     }
 
-    /// Since when it collects.
+    /// The time at which this process started to collect.
     pub fn began_at(&self) -> ClockTime {
         self.began_at
     }
 
-    /// Takes a report and answers it.
+    /// Handles a report and returns the answer.
     pub fn take(
         &mut self,
         report: NodeReport,
         view: &MeshView,
-        facts: &CollectorFacts<'_>,
+        context: &CollectorContext<'_>,
     ) -> MeshDigest {
-        let now = facts.now;
+        let now = context.now;
         self.note_usage(&report);
-        self.note_asked(&report, now);
+        self.note_member_demand(&report, now);
         self.note_demand(&report, now);
-        // A collector that stood still finds reports in its sockets that were sent before it did.
-        // By them its holders were heard a moment ago, and what they hold has ended since.
-        let old = report.turn < facts.oldest_turn;
-        let allotments = if old { Vec::new() } else { self.allotments(&report, view, facts) };
+        // A collector that was paused finds reports in its sockets that were sent before the pause.
+        // They would make holders look alive whose allotments have expired since.
+        let old = report.term < context.oldest_term;
+        let allotments = if old { Vec::new() } else { self.allotments(&report, view, context) };
         let offset = wall_offset(report.wall, now);
-        let id = report.card.id.clone();
+        let id = report.member.id.clone();
         self.loads.note(&id, &report.loads, now);
-        let loads = self.loads.news_for(&id, now);
+        let loads = self.loads.loads_for(&id, now);
         let members = self.members_for(&report, view, now);
-        let members_told_at = match (&members, self.nodes.get(&id)) {
+        let members_sent_at = match (&members, self.nodes.get(&id)) {
             (Some(_), _) => Some(now),
-            (None, known) => known.and_then(|node| node.members_told_at),
+            (None, known) => known.and_then(|node| node.members_sent_at),
         };
-        let digest = self.digest(&report, (view, facts), (allotments, loads, members));
-        self.nodes.insert(id, HeardNode { report, heard_at: now, offset, members_told_at });
+        let digest = self.digest(&report, (view, context), (allotments, loads, members));
+        self.nodes.insert(id, ReportedNode { report, heard_at: now, offset, members_sent_at });
         digest
     }
 
-    /// The members, if the reporter knows others and was not told of them a moment ago.
+    /// The members, if the reporter has a different list and was not sent one recently.
     ///
-    /// While processes start by the hundred each of them is a change, and all cards in each digest would fill the link.
+    /// While hundreds of processes start, each of them changes the list, and a full list in every
+    /// digest would saturate the link.
     fn members_for(
         &self,
         report: &NodeReport,
         view: &MeshView,
         now: ClockTime,
-    ) -> Option<Vec<MemberCard>> {
-        if report.members_mark == view.mark() {
+    ) -> Option<Vec<MemberInfo>> {
+        if report.members_hash == view.members_hash() {
             return None;
         }
-        let cards = view.cards();
-        let pause = TimeSpan(MEMBER_PAUSE.0 * cards.len() as u64);
-        let known = self.nodes.get(&report.card.id);
-        let known = known.filter(|node| node.report.card.life == report.card.life);
-        let told_at = known.and_then(|node| node.members_told_at);
-        told_at.is_none_or(|at| now - at >= pause).then_some(cards)
+        let members = view.members();
+        let pause = TimeSpan(MEMBER_LIST_PERIOD.0 * members.len() as u64);
+        let known = self.nodes.get(&report.member.id);
+        let known = known.filter(|node| node.report.member.life == report.member.life);
+        let told_at = known.and_then(|node| node.members_sent_at);
+        told_at.is_none_or(|at| now - at >= pause).then_some(members)
     }
 
     fn digest(
         &self,
         report: &NodeReport,
-        (view, facts): (&MeshView, &CollectorFacts<'_>),
-        (allotments, loads, members): (Vec<AccountAllotment>, LoadNews, Option<Vec<MemberCard>>),
+        (view, context): (&MeshView, &CollectorContext<'_>),
+        (allotments, loads, members): (Vec<AccountAllotment>, LoadUpdate, Option<Vec<MemberInfo>>),
     ) -> MeshDigest {
-        let now = facts.now;
-        let mine = facts.rules_status.version;
+        let now = context.now;
+        let mine = context.rules_status.version;
         MeshDigest {
             from: view.me().clone(),
             members,
             true_time: self.true_time(now).unwrap_or(report.wall),
-            rules: facts.rules_status.clone(),
-            roster: facts.roster.status(now),
-            rules_text: facts.rules_text.filter(|_| report.rules.version < mine).cloned(),
-            roster_update: facts.roster.update_for(
+            rules: context.rules_status.clone(),
+            roster: context.roster.status(now),
+            rules_text: context.rules_text.filter(|_| report.rules.version < mine).cloned(),
+            roster_update: context.roster.update_for(
                 &report.roster,
                 report.roster_version,
-                facts.source,
+                context.source,
             ),
             roster_version: RosterVersion {
-                source: facts.source,
-                number: facts.roster.change_count(),
+                source: context.source,
+                number: context.roster.change_count(),
             },
             wants_rules: report.rules.version > mine,
-            wants_roster: facts.roster.lacks(&report.roster, now),
+            wants_roster: context.roster.lacks(&report.roster, now),
             allotments,
             loads,
-            reported_window: facts.reported_window,
-            peaks: facts.peaks.clone(),
-            paces: self.paces(&facts.paces, now),
+            reported_window: context.reported_window,
+            peaks: context.peaks.clone(),
+            paces: self.paces(&context.paces, now),
             verdicts: self.judge.verdicts(),
-            suspects: (report.suspects_mark != facts.suspects.shared_mark())
-                .then(|| facts.suspects.shared(now)),
+            suspects: (report.suspects_hash != context.suspects.shared_mark())
+                .then(|| context.suspects.shared(now)),
             words: None,
             rates: None,
-            lease: facts.lease.clone(),
-            releases: facts.releases.clone(),
+            lease: context.lease.clone(),
+            releases: context.releases.clone(),
         }
     }
 
     /// Whether the store answers another process.
-    pub fn is_outdone(&self, me: &InstanceId, now: ClockTime) -> bool {
-        self.recent(now).any(|node| node.report.card.id != *me && node.report.served)
+    pub fn is_other_served(&self, me: &InstanceId, now: ClockTime) -> bool {
+        self.recent(now).any(|node| node.report.member.id != *me && node.report.served)
     }
 
-    /// How much later than usual a report came, going by its sender's clock and by `true_now` if
-    /// the sender was not heard before.
+    /// How much later than usual a report arrived, by its sender's clock, or by `true_now` if the
+    /// sender is new.
     ///
-    /// What a report says of its age holds for the moment at which it was written. A collector that
-    /// stood still finds reports in its sockets, and would pass on seconds-old news as new.
-    pub fn lateness(&self, report: &NodeReport, true_now: ClockTime, now: ClockTime) -> TimeSpan {
-        let known = self.nodes.get(&report.card.id).map(|node| node.offset);
+    /// Ages in a report hold for the moment it was written. A collector that was paused finds
+    /// reports in its sockets and would otherwise pass on data that is seconds old as new.
+    pub fn report_delay(
+        &self,
+        report: &NodeReport,
+        true_now: ClockTime,
+        now: ClockTime,
+    ) -> TimeSpan {
+        let known = self.nodes.get(&report.member.id).map(|node| node.offset);
         let usual = known.unwrap_or_else(|| wall_offset(true_now, now));
         TimeSpan(u64::try_from(usual - wall_offset(report.wall, now)).unwrap_or(0))
     }
 
-    /// When the last report came.
+    /// When the last report arrived.
     pub fn heard_at(&self) -> Option<ClockTime> {
         self.nodes.values().map(|node| node.heard_at).max()
     }
 
-    fn recent(&self, now: ClockTime) -> impl Iterator<Item = &HeardNode> {
-        self.nodes.values().filter(move |node| now - node.heard_at < REPORT_LASTS)
+    fn recent(&self, now: ClockTime) -> impl Iterator<Item = &ReportedNode> {
+        self.nodes.values().filter(move |node| now - node.heard_at < REPORT_LIFETIME)
     }
 
-    /// True time as the members heard of lately have it.
+    /// True time, as the median of the members heard recently.
     pub fn true_time(&self, now: ClockTime) -> Option<ClockTime> {
         let offset = median_offset(self.recent(now).map(|node| node.offset).collect())?;
         Some(ClockTime((now.0 as i64 + offset).max(0) as u64))
     }
 
-    /// How fast engines read, all processes together; of a service that none of them has seen
-    /// enough of, what was `told` before. After a change of the collector the figure stands until
-    /// reports bring it.
+    /// The prefill speed of engines, combined over all processes. For a service that none of them
+    /// has observed enough, it is the known value in `told`; thus values survive a change of the
+    /// collector until reports bring new ones.
     fn paces(&self, told: &[ServicePace], now: ClockTime) -> Vec<ServicePace> {
         let mut found: BTreeMap<&ServiceName, Vec<ReadPace>> = BTreeMap::new();
         for pace in self.recent(now).flat_map(|node| &node.report.paces) {
@@ -282,14 +292,14 @@
         paces
     }
 
-    /// Requests under way at an endpoint, of all processes.
-    pub fn requests_at(&self, endpoint: EndpointMark) -> u32 {
+    /// Requests in progress at an endpoint, summed over all processes.
+    pub fn requests_at(&self, endpoint: EndpointHash) -> u32 {
         self.loads.requests_at(endpoint)
     }
 
-    /// Takes the endpoints that take work, by service.
-    pub fn list_endpoints(&mut self, services: BTreeMap<ServiceName, Vec<EndpointMark>>) {
-        self.loads.list(services);
+    /// Sets the endpoints that accept requests, by service.
+    pub fn set_endpoints(&mut self, services: BTreeMap<ServiceName, Vec<EndpointHash>>) {
+        self.loads.set_endpoints(services);
     }
 
     /// The rates of limited endpoints.
@@ -297,29 +307,29 @@
         &mut self.rates
     }
 
-    /// Notes for which services the reporter was asked since its last report.
-    fn note_asked(&mut self, report: &NodeReport, now: ClockTime) {
-        let before = self.demand_before(report);
+    /// Records for which services the reporter got requests since its last report.
+    fn note_member_demand(&mut self, report: &NodeReport, now: ClockTime) {
+        let before = self.previous_demand(report);
         let was_asked = |asked: &&ServiceDemand| {
             let known = before.iter().find(|known| known.service == asked.service);
             known.is_none_or(|known| asked.requests > known.requests)
         };
         let services = report.demand.iter().filter(was_asked).map(|asked| &asked.service);
         let services: Vec<ServiceName> = services.cloned().collect();
-        if !report.card.leaving {
-            self.rates.note_member(&report.card.id, services.iter(), now);
+        if !report.member.leaving {
+            self.rates.note_member(&report.member.id, services.iter(), now);
         }
     }
 
     fn note_usage(&mut self, report: &NodeReport) {
-        let who = (report.card.id.clone(), report.card.life);
+        let who = (report.member.id.clone(), report.member.life);
         self.note_counts(&who, &report.usage);
-        for passed in &report.heritage {
+        for passed in &report.inherited_usage {
             self.note_counts(&(passed.id.clone(), passed.life), &passed.counts);
         }
     }
 
-    /// Notes counts of one process. They are whole sums, so the larger one is the newer.
+    /// Adds counts of one process. They are cumulative, so the larger one is newer.
     fn note_counts(&mut self, who: &(InstanceId, u64), counts: &[UsageCount]) {
         for usage in counts {
             let nodes = self.usage.entry(usage.window).or_default();
@@ -350,7 +360,7 @@
         nodes.into_iter().map(node).collect()
     }
 
-    /// What each account ran in `window`, as far as it was reported.
+    /// The requests of each account in `window`, as far as reported.
     pub fn usage_of(&self, window: u64) -> BTreeMap<AccountName, u64> {
         let mut sums = BTreeMap::new();
         for counts in self.usage.get(&window).into_iter().flat_map(BTreeMap::values) {
@@ -361,18 +371,18 @@
         sums
     }
 
-    /// Forgets windows up to `window`.
+    /// Removes windows up to `window`.
     pub fn forget_usage(&mut self, window: u64) {
         self.usage.retain(|known, _| *known > window);
     }
 
     fn note_demand(&mut self, report: &NodeReport, now: ClockTime) {
-        let before = self.nodes.get(&report.card.id);
-        let before = before.filter(|node| node.report.card.life == report.card.life);
+        let before = self.nodes.get(&report.member.id);
+        let before = before.filter(|node| node.report.member.life == report.member.life);
         for asked in &report.demand {
             let same = |known: &&ServiceDemand| known.service == asked.service;
             let known = before.and_then(|node| node.report.demand.iter().find(same));
-            // A process that was not heard of before may have been asked long ago.
+            // The counts of a process that is new here may be from long ago.
             let Some(known) = known else { continue };
             let new = |now: u64, then: u64| now.saturating_sub(then) as f64;
             let (rate, at) = self
@@ -380,7 +390,8 @@
                 .entry(asked.service.clone())
                 .or_insert_with(|| (DemandRate::default(), now));
             let kept = decay(now - *at);
-            let add = |rate: f64, new: f64| rate * kept + new * 1000.0 / DEMAND_TIME.0 as f64;
+            let add =
+                |rate: f64, new: f64| rate * kept + new * 1000.0 / DEMAND_TIME_CONSTANT.0 as f64;
             rate.requests = add(rate.requests, new(asked.requests, known.requests));
             rate.unread_tokens =
                 add(rate.unread_tokens, new(asked.unread_tokens, known.unread_tokens));
@@ -390,7 +401,7 @@
         }
     }
 
-    /// What `service` is asked for.
+    /// The current demand for `service`.
     pub fn demand_of(&self, service: &ServiceName, now: ClockTime) -> DemandRate {
         let Some((rate, at)) = self.demand.get(service) else {
             return DemandRate::default();
@@ -407,10 +418,10 @@
     pub fn all_reported_since(&self, view: &MeshView, since: ClockTime) -> bool {
         let reported =
             |id: &InstanceId| self.nodes.get(id).is_some_and(|node| node.heard_at >= since);
-        view.cards().iter().all(|card| reported(&card.id))
+        view.members().iter().all(|member| reported(&member.id))
     }
 }
 
 fn decay(age: TimeSpan) -> f64 {
-    (-(age.0 as f64) / DEMAND_TIME.0 as f64).exp()
+    (-(age.0 as f64) / DEMAND_TIME_CONSTANT.0 as f64).exp()
 }
--- a/crates/mesh/src/evidence.rs
+++ b/crates/mesh/src/evidence.rs
@@ -1,6 +1,6 @@
-//! What the processes report of endpoints, and what the collector makes of it.
+//! Outlier detection at the collector, from what all processes observed of the endpoints.
 
-use crate::message::{EndpointEvidence, EndpointVerdict, LifeMark, NodeReport};
+use crate::message::{EndpointEvidence, EndpointVerdict, IncarnationTag, NodeReport};
 use oleander_judge::{
     BadTrait, EvidenceBook, EvidenceSum, EvidenceTally, LEAST_SEEN, ServiceEvidence, judge_service,
     most_aside,
@@ -8,58 +8,60 @@
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use std::collections::BTreeMap;
 
-/// Between two comparisons. Each process reports several times a second; to compare at each report would cost as many
-/// comparisons, for news that is as old as a period of reports.
+/// Time between two comparisons. Each process reports several times a second; a comparison per
+/// report would cost more without a fresher result, as the data is as old as a reporting period
+/// anyway.
 const JUDGE_PERIOD: TimeSpan = TimeSpan(200);
-/// How long an endpoint stays set aside of which hardly anything is heard: nobody asks it, or a new
-/// collector has not heard of it yet. Then callers try it again, and it is found again within some two
-/// seconds if it is still bad.
-const UNPROVED_KEPT: TimeSpan = TimeSpan(5000);
+/// How long an endpoint stays ejected without enough observations, because no requests reach it or
+/// a new collector has not heard of it yet. After that requests try it again, and it is detected
+/// again within about two seconds if it is still bad.
+const UNPROVED_LIFETIME: TimeSpan = TimeSpan(5000);
 
-/// Names a life of an endpoint.
-pub type EndpointLife = (InstanceId, LifeMark);
+/// An incarnation of an endpoint.
+pub type EndpointIncarnation = (InstanceId, IncarnationTag);
 
-/// A change of what is said of an endpoint.
+/// A change of the verdict on an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VerdictChange {
     /// The endpoint.
-    pub endpoint: EndpointLife,
-    /// What is said now; none if it is as good as the others again.
+    pub endpoint: EndpointIncarnation,
+    /// The new verdict; `None` if the endpoint is as good as the others again.
     pub bad_trait: Option<BadTrait>,
-    /// What it was judged by.
+    /// The observations it was based on.
     pub sum: EvidenceSum,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct AsideMark {
+struct EjectionRecord {
     bad_trait: BadTrait,
     proved_at: ClockTime,
 }
 
-/// What all processes saw of the endpoints, and which are set aside.
+/// Combined observations of all processes, and the endpoints ejected because of them.
 #[derive(Debug, Default)]
-pub struct EndpointJudge {
-    book: EvidenceBook<EndpointLife>,
-    aside: BTreeMap<EndpointLife, AsideMark>,
+pub struct OutlierDetector {
+    book: EvidenceBook<EndpointIncarnation>,
+    ejected: BTreeMap<EndpointIncarnation, EjectionRecord>,
     judged_at: ClockTime,
 }
 
-impl EndpointJudge {
-    /// Begins with what was told before: a change of the collector frees no bad endpoint.
+impl OutlierDetector {
+    /// Starts from known verdicts, so that a change of the collector does not reinstate bad
+    /// endpoints.
     pub fn begin(told: impl Iterator<Item = EndpointVerdict>, now: ClockTime) -> Self {
-        let mark = |verdict: EndpointVerdict| {
-            let mark = AsideMark { bad_trait: verdict.bad_trait, proved_at: now };
-            ((verdict.instance, verdict.life), mark)
+        let record = |verdict: EndpointVerdict| {
+            let record = EjectionRecord { bad_trait: verdict.bad_trait, proved_at: now };
+            ((verdict.instance, verdict.life), record)
         };
-        EndpointJudge { aside: told.map(mark).collect(), ..EndpointJudge::default() }
+        OutlierDetector { ejected: told.map(record).collect(), ..OutlierDetector::default() }
     }
 
-    /// Takes what a report tells; gives how much of it was left out, since it names an endpoint or a
-    /// life that nobody `knows`, or cannot be true.
+    /// Adds the observations of a report. Returns the number of those left out because they name an
+    /// endpoint or incarnation that is not known (`knows`) or are impossible.
     pub fn note(
         &mut self,
         report: &NodeReport,
-        knows: impl Fn(&EndpointLife) -> bool,
+        knows: impl Fn(&EndpointIncarnation) -> bool,
         now: ClockTime,
     ) -> usize {
         let mut left_out = 0;
@@ -74,75 +76,89 @@
         left_out
     }
 
-    /// Takes what a process saw of one endpoint.
-    pub fn note_tally(&mut self, endpoint: EndpointLife, tally: EvidenceTally, now: ClockTime) {
+    /// Adds one process's observations of one endpoint.
+    pub fn note_tally(
+        &mut self,
+        endpoint: EndpointIncarnation,
+        tally: EvidenceTally,
+        now: ClockTime,
+    ) {
         self.book.note(endpoint, tally, now);
     }
 
-    /// Whether it is time to compare again.
+    /// Whether it is time for the next comparison.
     pub fn is_due(&self, now: ClockTime) -> bool {
         now - self.judged_at >= JUDGE_PERIOD
     }
 
-    /// Compares the endpoints of each service with one another; gives what changed.
-    pub fn judge(&mut self, services: &[Vec<EndpointLife>], now: ClockTime) -> Vec<VerdictChange> {
+    /// Compares the endpoints of each service with one another; returns the changed verdicts.
+    pub fn judge(
+        &mut self,
+        services: &[Vec<EndpointIncarnation>],
+        now: ClockTime,
+    ) -> Vec<VerdictChange> {
         self.judged_at = now;
         self.book.sweep(now);
-        let mut aside = BTreeMap::new();
+        let mut ejected = BTreeMap::new();
         for endpoints in services {
-            self.judge_one(endpoints, now, &mut aside);
+            self.judge_one(endpoints, now, &mut ejected);
         }
-        let before = std::mem::replace(&mut self.aside, aside);
-        let was = |endpoint: &EndpointLife| before.get(endpoint).map(|mark| mark.bad_trait);
-        let is = |endpoint: &EndpointLife| self.aside.get(endpoint).map(|mark| mark.bad_trait);
-        let named: std::collections::BTreeSet<_> = before.keys().chain(self.aside.keys()).collect();
+        let before = std::mem::replace(&mut self.ejected, ejected);
+        let was =
+            |endpoint: &EndpointIncarnation| before.get(endpoint).map(|record| record.bad_trait);
+        let is = |endpoint: &EndpointIncarnation| {
+            self.ejected.get(endpoint).map(|record| record.bad_trait)
+        };
+        let named: std::collections::BTreeSet<_> =
+            before.keys().chain(self.ejected.keys()).collect();
         let changed = named.into_iter().filter(|endpoint| was(endpoint) != is(endpoint));
-        let change = |endpoint: &EndpointLife| VerdictChange {
+        let change = |endpoint: &EndpointIncarnation| VerdictChange {
             endpoint: endpoint.clone(),
             bad_trait: is(endpoint),
             sum: self.book.sum(endpoint, now),
         };
         let changes = changed.map(change).collect();
-        // Each time it is judged by what came since: what put it aside would keep it there for a quarter of a
-        // minute after it is well again.
-        let proved = self.aside.iter().filter(|(_, mark)| mark.proved_at == now);
+        // An ejected endpoint is judged again only by observations made since; those that led to
+        // the ejection would keep it ejected for a quarter of a minute after it has recovered.
+        let proved = self.ejected.iter().filter(|(_, record)| record.proved_at == now);
         proved.for_each(|(endpoint, _)| self.book.forget(endpoint));
         changes
     }
 
     fn judge_one(
         &self,
-        endpoints: &[EndpointLife],
+        endpoints: &[EndpointIncarnation],
         now: ClockTime,
-        aside: &mut BTreeMap<EndpointLife, AsideMark>,
+        ejected: &mut BTreeMap<EndpointIncarnation, EjectionRecord>,
     ) {
         let evidence = |at: usize| ServiceEvidence {
             endpoint: at,
             sum: self.book.sum(&endpoints[at], now),
-            before: self.aside.get(&endpoints[at]).map(|mark| mark.bad_trait),
+            before: self.ejected.get(&endpoints[at]).map(|record| record.bad_trait),
         };
         let known: Vec<_> = (0..endpoints.len()).map(evidence).collect();
         let mut left = most_aside(endpoints.len());
         for one in known.iter().filter(|one| one.sum.seen() < LEAST_SEEN) {
             let endpoint = &endpoints[one.endpoint];
-            let kept = self.aside.get(endpoint).filter(|mark| now - mark.proved_at < UNPROVED_KEPT);
-            if let Some(mark) = kept {
-                aside.insert(endpoint.clone(), *mark);
+            let kept = self
+                .ejected
+                .get(endpoint)
+                .filter(|record| now - record.proved_at < UNPROVED_LIFETIME);
+            if let Some(record) = kept {
+                ejected.insert(endpoint.clone(), *record);
                 left = left.saturating_sub(1);
             }
         }
         for (at, bad_trait) in judge_service(&known).into_iter().take(left) {
-            aside.insert(endpoints[at].clone(), AsideMark { bad_trait, proved_at: now });
+            ejected.insert(endpoints[at].clone(), EjectionRecord { bad_trait, proved_at: now });
         }
     }
 
-    /// The endpoints that are set aside.
+    /// The endpoints that are ejected.
     pub fn verdicts(&self) -> Vec<EndpointVerdict> {
-        let verdict = |((instance, life), mark): (&EndpointLife, &AsideMark)| EndpointVerdict {
-            instance: instance.clone(),
-            life: *life,
-            bad_trait: mark.bad_trait,
+        let verdict = |((instance, life), record): (&EndpointIncarnation, &EjectionRecord)| {
+            EndpointVerdict { instance: instance.clone(), life: *life, bad_trait: record.bad_trait }
         };
-        self.aside.iter().map(verdict).collect()
+        self.ejected.iter().map(verdict).collect()
     }
 }
--- a/crates/mesh/src/limit_message.rs
+++ b/crates/mesh/src/limit_message.rs
@@ -1,30 +1,30 @@
-//! What processes tell one another of limits of client accounts.
+//! Messages about the limits of client accounts.
 
 use oleander_kind::{AccountName, InstanceId};
 use oleander_limit::{HoldClaim, KnownWindow, LedgerBond, PoolAllotment};
 use serde::{Deserialize, Serialize};
 
-/// What a process says of its allotment of an account.
+/// A process's claim on the limit of an account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountClaim {
     /// The account.
     #[serde(rename = "a")]
     pub account: AccountName,
-    /// What it says.
+    /// The claim.
     #[serde(rename = "n")]
     pub claim: HoldClaim,
 }
 
-/// A process that is short asks for room at once.
+/// An immediate request of a process whose allotment is nearly used up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitAsk {
+pub struct LimitRequest {
     /// Its instance.
     #[serde(rename = "i")]
     pub id: InstanceId,
-    /// Which life of it.
+    /// Its incarnation.
     #[serde(rename = "l")]
     pub life: u64,
-    /// The ledger that it went by last.
+    /// The ledger that last gave it an allotment.
     #[serde(rename = "b")]
     pub bond: Option<LedgerBond>,
     /// The claim.
@@ -32,20 +32,20 @@
     pub claim: AccountClaim,
 }
 
-/// What a ledger that ended in order passes on to the next one.
+/// The state that a ledger hands over to its successor on an orderly shutdown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedLedger {
-    /// How many processes counted there.
+pub struct LedgerHandover {
+    /// The number of processes that took part in the ledger.
     #[serde(rename = "m")]
     pub members: u32,
     /// The windows of the accounts.
     #[serde(rename = "w")]
-    pub windows: Vec<HandedWindow>,
+    pub windows: Vec<WindowHandover>,
 }
 
-/// An account's window as it is passed on.
+/// An account's window, as handed over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedWindow {
+pub struct WindowHandover {
     /// The account.
     #[serde(rename = "a")]
     pub account: AccountName,
@@ -54,7 +54,7 @@
     pub window: KnownWindow,
 }
 
-/// An account's allotment, for one process.
+/// An account's allotment for one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountAllotment {
     /// The account.
--- a/crates/mesh/src/limits.rs
+++ b/crates/mesh/src/limits.rs
@@ -1,7 +1,7 @@
-//! Limits of client accounts at the collector, which keeps the ledger, and what is told of them.
+//! Limits of client accounts at the collector, which keeps the ledger.
 
-use crate::collector::{CollectorFacts, MeshCollector};
-use crate::limit_message::{AccountAllotment, AccountClaim, LimitAsk};
+use crate::collector::{CollectorContext, MeshCollector};
+use crate::limit_message::{AccountAllotment, AccountClaim, LimitRequest};
 use crate::message::NodeReport;
 use crate::view::MeshView;
 use oleander_call::RuleSet;
@@ -10,43 +10,43 @@
     ClaimFault, HoldClaim, PoolAllotment, PoolLedger, PoolLimit, PoolSpender, WindowStand,
 };
 
-/// For how long what a process let in by another ledger counts where no account has a limit: only requests of roll-outs are
-/// handed out then.
-const UNLIMITED_LENGTH: TimeSpan = TimeSpan(8400);
+/// How long requests admitted under another ledger are counted if no account has a limit. In that
+/// case allotments are only given for requests of roll-outs.
+const UNLIMITED_WINDOW: TimeSpan = TimeSpan(8400);
 
 impl MeshCollector {
-    /// Goes on with a ledger.
+    /// Sets the ledger.
     pub fn with_ledger(mut self, ledger: PoolLedger) -> Self {
         self.ledger = Some(ledger);
         self
     }
 
-    /// The ledger, if it has begun and was not passed on.
+    /// The ledger, if it has begun and was not handed over.
     pub fn ledger(&self) -> Option<&PoolLedger> {
         self.ledger.as_ref()
     }
 
-    /// The same, to change it.
+    /// The ledger, for changes.
     pub fn ledger_mut(&mut self) -> Option<&mut PoolLedger> {
         self.ledger.as_mut()
     }
 
-    /// Begins the ledger, or begins it anew by what the one before handed over.
+    /// Sets a new ledger, or one continued from the state its predecessor handed over.
     pub fn begin_ledger(&mut self, ledger: PoolLedger) {
         self.ledger = Some(ledger);
     }
 
-    /// Takes the ledger away: nothing more is handed out here.
+    /// Removes the ledger: this process gives no more allotments.
     pub fn take_ledger(&mut self) -> Option<PoolLedger> {
         self.ledger.take()
     }
 
-    /// How many claims could not be true since this was last asked.
+    /// The number of impossible claims since the last call.
     pub fn take_claims_left_out(&mut self) -> u64 {
         std::mem::take(&mut self.claims_left_out)
     }
 
-    /// What is counted of each account.
+    /// The window of each account.
     pub fn windows(&self) -> impl Iterator<Item = (&AccountName, WindowStand)> {
         self.ledger.iter().flat_map(PoolLedger::windows)
     }
@@ -55,32 +55,33 @@
         &mut self,
         report: &NodeReport,
         view: &MeshView,
-        facts: &CollectorFacts<'_>,
+        context: &CollectorContext<'_>,
     ) -> Vec<AccountAllotment> {
         let Some(claims) = &report.claims else { return Vec::new() };
-        let spender = PoolSpender { instance: report.card.id.clone(), life: report.card.life };
-        let claims = with_others(claims, facts);
-        if !report.card.leaving
+        let spender = PoolSpender { instance: report.member.id.clone(), life: report.member.life };
+        let claims = with_missing_accounts(claims, context);
+        if !report.member.leaving
             && let Some(ledger) = &mut self.ledger
         {
-            let limits = claims.iter().filter_map(|claim| (facts.limit_of)(&claim.account));
+            let limits = claims.iter().filter_map(|claim| (context.limit_of)(&claim.account));
             let length = limits.filter(has_rate).map(|limit| limit.length()).next();
-            let length = length.unwrap_or(UNLIMITED_LENGTH);
-            ledger.note_member(&report.card.id, report.bond, (length, facts.now));
+            let length = length.unwrap_or(UNLIMITED_WINDOW);
+            ledger.note_member(&report.member.id, report.bond, (length, context.now));
         }
         let allot = |claim: AccountClaim| {
-            let limit = (facts.limit_of)(&claim.account)?;
+            let limit = (context.limit_of)(&claim.account)?;
             let known = (&limit, view.serving());
-            let allotment = self.claim(&claim, &spender, known, facts.now)?;
+            let allotment = self.claim(&claim, &spender, known, context.now)?;
             Some(AccountAllotment { account: claim.account, allotment })
         };
         claims.into_iter().filter_map(allot).collect()
     }
 
-    /// Answers a process that is short of room; none if there is no ledger here. `serving` processes share the limit.
+    /// Answers a process whose allotment is nearly used up; `None` if there is no ledger here.
+    /// `known` is the limit and the number of processes that share it.
     pub fn ask(
         &mut self,
-        ask: &LimitAsk,
+        ask: &LimitRequest,
         known: (&PoolLimit, u32),
         now: ClockTime,
     ) -> Option<PoolAllotment> {
@@ -101,7 +102,7 @@
         let ledger = self.ledger.as_mut()?;
         match ledger.claim(&claim.account, known, (spender, &claim.claim), now) {
             Ok(allotment) => Some(allotment),
-            // Its answer was lost on the way, and a later claim was answered.
+            // The answer to this claim was lost, and a later claim has already been answered.
             Err(ClaimFault::Late) => None,
             Err(ClaimFault::Impossible) => {
                 self.claims_left_out += 1;
@@ -111,19 +112,22 @@
     }
 }
 
-/// Whether a limit is one of a client account: those go by the operators' window, and so do the members of a ledger. What
-/// is handed out of a roll-out counts until it is decided.
+/// Whether the limit is one of a client account. Those have the operators' window, which also
+/// applies to the members of a ledger; allotments of a roll-out count until it is decided.
 fn has_rate(limit: &PoolLimit) -> bool {
     limit.rate_per_s > 0.0
 }
 
-/// The claims of a process, and those of accounts that it never let in.
+/// The claims of a process, extended by empty claims for the accounts it has admitted nothing for.
 ///
-/// Any process may collect next, and begins with the windows it was told of. One that was not told of an account, as
-/// it had let in nothing of it, would have to take its window for full. It also finds an allotment when the
-/// account's first request comes.
-fn with_others(claims: &[AccountClaim], facts: &CollectorFacts<'_>) -> Vec<AccountClaim> {
-    let accounts = facts.rules.map_or(&[][..], RuleSet::accounts);
+/// Any process may become the collector and then starts from the windows it was told. For an
+/// account that it was not told of, because it had admitted nothing, it would have to assume a full
+/// window. The process also has an allotment ready when the account's first request arrives.
+fn with_missing_accounts(
+    claims: &[AccountClaim],
+    context: &CollectorContext<'_>,
+) -> Vec<AccountClaim> {
+    let accounts = context.rules.map_or(&[][..], RuleSet::accounts);
     let lacks = |name: &AccountName| claims.iter().all(|claim| claim.account != *name);
     let others = accounts.iter().map(|account| &account.name).filter(|name| lacks(name));
     let others =
--- a/crates/mesh/src/loads.rs
+++ b/crates/mesh/src/loads.rs
@@ -1,41 +1,42 @@
-//! Work at the endpoints, summed up as reports come, and which of it each process is told.
+//! Load at the endpoints, summed over the reports, and the part of it that each process is sent.
 //!
-//! A process places a request by the work of a few endpoints: some that it draws by lot, and those that hold parts of the
-//! prompt. Told of all of them four times a second, the collector's link would have to carry processes times endpoints.
-//! Beyond a certain number of busy endpoints each process is told of some that it draws from, always the same ones while
-//! they live, and of those with most work, which nobody should add to. Of the rest it is told the mean.
+//! A process places a request by the load of a few endpoints: some drawn at random, and those that
+//! have cached parts of the prompt. Sending every endpoint to every process four times a second
+//! would load the collector's link with processes times endpoints. Above a certain number of busy
+//! endpoints each process therefore gets a fixed sample, from which it draws, and the most loaded
+//! endpoints, which should get no more requests. For the rest it gets the mean.
 
-use crate::message::EndpointMark;
+use crate::message::EndpointHash;
 use oleander_kind::hash::rendezvous_weight;
 use oleander_kind::{ClockTime, InstanceId, ServiceName, TimeSpan};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Up to so many busy endpoints a process is told of all.
-const MOST_TOLD: usize = 128;
-/// Endpoints of each service that a process draws from.
-const DRAWN_TOLD: usize = 32;
-/// Endpoints with most work that all processes are told of.
-const LONGEST_TOLD: usize = 32;
-/// For how long what all processes are told alike is taken for the same.
-const COMMON_KEPT: TimeSpan = TimeSpan(100);
-/// A report counts for this long after it came: four times the period of reports.
-pub(crate) const REPORT_LASTS: TimeSpan = TimeSpan(1200);
+/// Up to this number of busy endpoints, a process is sent all of them.
+const MAX_FULL_ENDPOINTS: usize = 128;
+/// Size of the sample per service that a process draws from.
+const SAMPLE_SIZE: usize = 32;
+/// Number of most loaded endpoints that are sent to all processes.
+const MAX_BUSIEST: usize = 32;
+/// How long the common part of all answers is reused.
+const COMMON_LIFETIME: TimeSpan = TimeSpan(100);
+/// How long a report is valid: four reporting periods.
+pub(crate) const REPORT_LIFETIME: TimeSpan = TimeSpan(1200);
 
-/// Work at an endpoint. Travels as a list without names: there is one for each endpoint that is told of.
+/// Load at an endpoint. Encoded as a tuple without field names, since there are many in a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "LoadFields", into = "LoadFields")]
 pub struct EndpointLoad {
     /// The endpoint.
-    pub endpoint: EndpointMark,
-    /// Requests under way.
+    pub endpoint: EndpointHash,
+    /// Requests in progress.
     pub requests: u32,
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens that wait for prefill.
     pub unread_tokens: u64,
 }
 
-type LoadFields = (EndpointMark, u32, u64);
+type LoadFields = (EndpointHash, u32, u64);
 
 impl From<LoadFields> for EndpointLoad {
     fn from((endpoint, requests, unread_tokens): LoadFields) -> Self {
@@ -49,44 +50,44 @@
     }
 }
 
-/// The mean work of a service's endpoints that are not told of one by one.
+/// The mean load of a service's endpoints that are not listed one by one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MeanLoad {
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// Requests under way.
+    /// Requests in progress.
     #[serde(rename = "r")]
     pub requests: u32,
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens that wait for prefill.
     #[serde(rename = "u")]
     pub unread_tokens: u64,
 }
 
-/// What a process is told of the other processes' work.
+/// The load of other processes, as sent to one process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LoadNews {
-    /// Work at endpoints.
+pub struct LoadUpdate {
+    /// Load at endpoints.
     #[serde(rename = "l")]
     pub loads: Vec<EndpointLoad>,
-    /// The mean of the others, by service; empty if there is no work at the others.
+    /// The mean of the other endpoints, by service; empty if those are idle.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub means: Vec<MeanLoad>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct WorkSum {
+struct LoadSum {
     requests: u32,
     unread_tokens: u64,
 }
 
-impl WorkSum {
+impl LoadSum {
     fn add(&mut self, load: &EndpointLoad) {
         self.requests += load.requests;
         self.unread_tokens += load.unread_tokens;
     }
 
-    fn take_off(&mut self, load: &EndpointLoad) {
+    fn subtract(&mut self, load: &EndpointLoad) {
         self.requests = self.requests.saturating_sub(load.requests);
         self.unread_tokens = self.unread_tokens.saturating_sub(load.unread_tokens);
     }
@@ -100,163 +101,165 @@
 struct ReporterLoads {
     loads: Vec<EndpointLoad>,
     heard_at: ClockTime,
-    /// The endpoints that it draws from, and the edition of the list that they are of.
-    drawn: (u64, Vec<EndpointMark>),
+    /// The sample it draws from, and the edition of the endpoint list that the sample was taken
+    /// from.
+    sample: (u64, Vec<EndpointHash>),
 }
 
-/// Work at the endpoints, all processes together.
+/// Load at the endpoints, summed over all processes.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     reporters: BTreeMap<InstanceId, ReporterLoads>,
-    sums: BTreeMap<EndpointMark, WorkSum>,
-    services: BTreeMap<ServiceName, Vec<EndpointMark>>,
+    sums: BTreeMap<EndpointHash, LoadSum>,
+    services: BTreeMap<ServiceName, Vec<EndpointHash>>,
     edition: u64,
-    common: CommonNews,
+    common: CommonLoads,
 }
 
-/// What all processes are told alike.
+/// The part of the answer that is the same for all processes.
 #[derive(Debug, Default)]
-struct CommonNews {
-    found_at: Option<ClockTime>,
-    /// The endpoints with most work.
-    longest: BTreeSet<EndpointMark>,
-    /// The mean work of the others, by service.
+struct CommonLoads {
+    updated_at: Option<ClockTime>,
+    /// The most loaded endpoints.
+    busiest: BTreeSet<EndpointHash>,
+    /// The mean load of the others, by service.
     means: Vec<MeanLoad>,
 }
 
 impl LoadTable {
-    /// Takes the endpoints that take work, by service.
-    pub fn list(&mut self, services: BTreeMap<ServiceName, Vec<EndpointMark>>) {
+    /// Sets the endpoints that accept requests, by service.
+    pub fn set_endpoints(&mut self, services: BTreeMap<ServiceName, Vec<EndpointHash>>) {
         if self.services != services {
             self.services = services;
             self.edition += 1;
         }
     }
 
-    /// Takes a process's own work in place of what it reported before.
+    /// Replaces the load that a process reported before.
     pub fn note(&mut self, reporter: &InstanceId, loads: &[EndpointLoad], now: ClockTime) {
-        self.forget_silent(now);
+        self.remove_silent(now);
         for load in loads {
             self.sums.entry(load.endpoint).or_default().add(load);
         }
-        let (former, drawn) = match self.reporters.remove(reporter) {
-            Some(known) => (known.loads, known.drawn),
+        let (former, sample) = match self.reporters.remove(reporter) {
+            Some(known) => (known.loads, known.sample),
             None => (Vec::new(), (0, Vec::new())),
         };
-        self.take_off(&former);
-        let fresh = ReporterLoads { loads: loads.to_vec(), heard_at: now, drawn };
+        self.subtract(&former);
+        let fresh = ReporterLoads { loads: loads.to_vec(), heard_at: now, sample };
         self.reporters.insert(reporter.clone(), fresh);
     }
 
-    fn take_off(&mut self, loads: &[EndpointLoad]) {
+    fn subtract(&mut self, loads: &[EndpointLoad]) {
         for load in loads {
             let Some(sum) = self.sums.get_mut(&load.endpoint) else { continue };
-            sum.take_off(load);
+            sum.subtract(load);
             if sum.is_idle() {
                 self.sums.remove(&load.endpoint);
             }
         }
     }
 
-    fn forget_silent(&mut self, now: ClockTime) {
+    fn remove_silent(&mut self, now: ClockTime) {
         let silent = |(id, known): (&InstanceId, &ReporterLoads)| {
-            (now - known.heard_at >= REPORT_LASTS).then(|| id.clone())
+            (now - known.heard_at >= REPORT_LIFETIME).then(|| id.clone())
         };
         let silent: Vec<InstanceId> = self.reporters.iter().filter_map(silent).collect();
         for id in silent {
             if let Some(gone) = self.reporters.remove(&id) {
-                self.take_off(&gone.loads);
+                self.subtract(&gone.loads);
             }
         }
     }
 
-    /// Requests under way at an endpoint.
-    pub fn requests_at(&self, endpoint: EndpointMark) -> u32 {
+    /// Requests in progress at an endpoint.
+    pub fn requests_at(&self, endpoint: EndpointHash) -> u32 {
         self.sums.get(&endpoint).map_or(0, |sum| sum.requests)
     }
 
-    /// What to tell `reporter` of the others' work.
-    pub fn news_for(&mut self, reporter: &InstanceId, now: ClockTime) -> LoadNews {
-        self.forget_silent(now);
-        if self.sums.len() <= MOST_TOLD {
-            let all: Vec<EndpointMark> = self.sums.keys().copied().collect();
+    /// The load of the other processes, for `reporter`.
+    pub fn loads_for(&mut self, reporter: &InstanceId, now: ClockTime) -> LoadUpdate {
+        self.remove_silent(now);
+        if self.sums.len() <= MAX_FULL_ENDPOINTS {
+            let all: Vec<EndpointHash> = self.sums.keys().copied().collect();
             let loads = self.others_at(reporter, &all);
             let loads =
                 loads.into_iter().filter(|load| load.requests > 0 || load.unread_tokens > 0);
-            return LoadNews { loads: loads.collect(), means: Vec::new() };
+            return LoadUpdate { loads: loads.collect(), means: Vec::new() };
         }
-        self.draw_for(reporter);
-        self.find_common(now);
-        let drawn = self.reporters.get(reporter).map_or(&[][..], |known| &known.drawn.1);
-        let told = drawn.iter().filter(|mark| !self.common.longest.contains(mark));
-        let told: Vec<EndpointMark> = told.chain(&self.common.longest).copied().collect();
-        LoadNews { loads: self.others_at(reporter, &told), means: self.common.means.clone() }
+        self.update_sample(reporter);
+        self.update_common(now);
+        let sample = self.reporters.get(reporter).map_or(&[][..], |known| &known.sample.1);
+        let listed = sample.iter().filter(|hash| !self.common.busiest.contains(hash));
+        let listed: Vec<EndpointHash> = listed.chain(&self.common.busiest).copied().collect();
+        LoadUpdate { loads: self.others_at(reporter, &listed), means: self.common.means.clone() }
     }
 
-    fn others_at(&self, reporter: &InstanceId, endpoints: &[EndpointMark]) -> Vec<EndpointLoad> {
+    fn others_at(&self, reporter: &InstanceId, endpoints: &[EndpointHash]) -> Vec<EndpointLoad> {
         let own = self.reporters.get(reporter).map_or(&[][..], |known| &known.loads);
-        let own: HashMap<EndpointMark, &EndpointLoad> =
+        let own: HashMap<EndpointHash, &EndpointLoad> =
             own.iter().map(|load| (load.endpoint, load)).collect();
-        let load = |endpoint: &EndpointMark| {
+        let load = |endpoint: &EndpointHash| {
             let mut sum = self.sums.get(endpoint).copied().unwrap_or_default();
             if let Some(load) = own.get(endpoint) {
-                sum.take_off(load);
+                sum.subtract(load);
             }
-            let WorkSum { requests, unread_tokens } = sum;
+            let LoadSum { requests, unread_tokens } = sum;
             EndpointLoad { endpoint: *endpoint, requests, unread_tokens }
         };
         endpoints.iter().map(load).collect()
     }
 
-    /// Draws endpoints for a process by rendezvous: of a list that changed a little, it draws the same ones but for a few.
-    fn draw_for(&mut self, reporter: &InstanceId) {
+    /// Samples endpoints for a process by rendezvous hashing, so that a small change of the
+    /// endpoint list changes the sample only a little.
+    fn update_sample(&mut self, reporter: &InstanceId) {
         let edition = self.edition;
         let Some(known) = self.reporters.get_mut(reporter) else { return };
-        if known.drawn.0 == edition {
+        if known.sample.0 == edition {
             return;
         }
         let key = reporter.stable_hash();
-        let weight = |mark: &EndpointMark| Reverse(rendezvous_weight(key, mark.value()));
-        let mut drawn = Vec::new();
+        let weight = |hash: &EndpointHash| Reverse(rendezvous_weight(key, hash.value()));
+        let mut sample = Vec::new();
         for endpoints in self.services.values() {
             let mut ranked = endpoints.clone();
-            if ranked.len() > DRAWN_TOLD {
-                ranked.select_nth_unstable_by_key(DRAWN_TOLD, weight);
-                ranked.truncate(DRAWN_TOLD);
+            if ranked.len() > SAMPLE_SIZE {
+                ranked.select_nth_unstable_by_key(SAMPLE_SIZE, weight);
+                ranked.truncate(SAMPLE_SIZE);
             }
-            drawn.extend(ranked);
+            sample.extend(ranked);
         }
-        known.drawn = (edition, drawn);
+        known.sample = (edition, sample);
     }
 
-    /// Finds what all processes are told alike.
-    fn find_common(&mut self, now: ClockTime) {
-        if self.common.found_at.is_some_and(|at| now - at < COMMON_KEPT) {
+    /// Updates the part that is the same for all processes.
+    fn update_common(&mut self, now: ClockTime) {
+        if self.common.updated_at.is_some_and(|at| now - at < COMMON_LIFETIME) {
             return;
         }
-        let work = |(mark, sum): (&EndpointMark, &WorkSum)| {
-            (Reverse((sum.unread_tokens, sum.requests)), *mark)
+        let work = |(hash, sum): (&EndpointHash, &LoadSum)| {
+            (Reverse((sum.unread_tokens, sum.requests)), *hash)
         };
         let mut ranked: Vec<_> = self.sums.iter().map(work).collect();
-        if ranked.len() > LONGEST_TOLD {
-            ranked.select_nth_unstable(LONGEST_TOLD);
-            ranked.truncate(LONGEST_TOLD);
+        if ranked.len() > MAX_BUSIEST {
+            ranked.select_nth_unstable(MAX_BUSIEST);
+            ranked.truncate(MAX_BUSIEST);
         }
-        let longest: BTreeSet<EndpointMark> = ranked.into_iter().map(|(_, mark)| mark).collect();
-        let means = self.services.iter().map(|(name, marks)| self.mean_of(name, marks, &longest));
-        self.common = CommonNews { found_at: Some(now), means: means.collect(), longest };
+        let busiest: BTreeSet<EndpointHash> = ranked.into_iter().map(|(_, hash)| hash).collect();
+        let means = self.services.iter().map(|(name, hashes)| self.mean_of(name, hashes, &busiest));
+        self.common = CommonLoads { updated_at: Some(now), means: means.collect(), busiest };
     }
 
     fn mean_of(
         &self,
         service: &ServiceName,
-        endpoints: &[EndpointMark],
-        longest: &BTreeSet<EndpointMark>,
+        endpoints: &[EndpointHash],
+        busiest: &BTreeSet<EndpointHash>,
     ) -> MeanLoad {
-        let mut sum = WorkSum::default();
+        let mut sum = LoadSum::default();
         let mut count = 0;
-        for mark in endpoints.iter().filter(|mark| !longest.contains(mark)) {
-            let at = self.sums.get(mark).copied().unwrap_or_default();
+        for hash in endpoints.iter().filter(|hash| !busiest.contains(hash)) {
+            let at = self.sums.get(hash).copied().unwrap_or_default();
             sum.requests += at.requests;
             sum.unread_tokens += at.unread_tokens;
             count += 1;
--- a/crates/mesh/src/message.rs
+++ b/crates/mesh/src/message.rs
@@ -1,8 +1,9 @@
-//! The messages. Fields have short names on the wire, because they travel several times a second.
+//! The messages. Fields have short names on the wire, because messages are sent several times a
+//! second.
 
-use crate::limit_message::{AccountAllotment, AccountClaim, HandedLedger, LimitAsk};
-use crate::loads::{EndpointLoad, LoadNews};
-use crate::words::{EndpointWords, RateShare};
+use crate::limit_message::{AccountAllotment, AccountClaim, LedgerHandover, LimitRequest};
+use crate::loads::{EndpointLoad, LoadUpdate};
+use crate::signals::{EndpointSignals, RateShare};
 use compact_str::CompactString;
 use oleander_judge::{BadTrait, EvidenceTally};
 use oleander_kind::hash::mix_bits;
@@ -19,48 +20,48 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Who a process is.
+/// Identity and state of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberCard {
+pub struct MemberInfo {
     /// Its instance.
     #[serde(rename = "i")]
     pub id: InstanceId,
     /// Its failure domain.
     #[serde(rename = "d")]
     pub domain: DomainName,
-    /// Where its peers connect.
+    /// The address for peers.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Tells two lives of it apart.
+    /// Identifies the incarnation of the process.
     #[serde(rename = "l")]
     pub life: u64,
     /// Whether it is stopping.
     #[serde(rename = "x")]
     pub leaving: bool,
-    /// Whether it would rather not collect: the store serves others, but not it.
+    /// Whether it prefers not to collect, because the store answers other processes but not it.
     #[serde(rename = "u")]
     pub unfit: bool,
-    /// How well its instance can carry the collecting; see
-    /// [`collect_strength`](crate::view::collect_strength).
+    /// The capacity of its instance to collect; see
+    /// [`collector_capacity`](crate::view::collector_capacity).
     #[serde(rename = "s", default)]
-    pub strength: u32,
-    /// Raised with each change of the card in one life; the highest is the newest.
+    pub capacity: u32,
+    /// Incremented with each change within one incarnation; the highest is the newest.
     #[serde(rename = "n")]
     pub edition: u32,
 }
 
-/// How a process stands with the operators' rules.
+/// The status of a process's rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RulesStatus {
-    /// The version it has; 0 for none.
+    /// The version in force; 0 for none.
     #[serde(rename = "m")]
     pub version: u64,
-    /// When the store last spoke for that version, to whomever.
+    /// When the store last confirmed that version to any process.
     #[serde(rename = "v")]
     pub freshness: Option<FreshnessNote>,
 }
 
-/// Requests of an account that began to run in a window, at one process.
+/// The number of an account's requests that began to run in a window, at one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageCount {
     /// The window's number.
@@ -69,18 +70,18 @@
     /// The account.
     #[serde(rename = "a")]
     pub account: AccountName,
-    /// Requests.
+    /// The number of requests.
     #[serde(rename = "n")]
     pub count: u64,
 }
 
-/// What another process counted, passed on by a former collector.
+/// Counts of another process, passed on by a former collector.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeUsage {
     /// The process.
     #[serde(rename = "i")]
     pub id: InstanceId,
-    /// Its life.
+    /// Its incarnation.
     #[serde(rename = "l")]
     pub life: u64,
     /// Its counts.
@@ -88,31 +89,32 @@
     pub counts: Vec<UsageCount>,
 }
 
-/// Tells apart lives of an endpoint whose work is told of within the same seconds: the last bits of the
-/// time at which a life began.
+/// Distinguishes incarnations of an endpoint that report within the same seconds: the low bits of
+/// the start time of an incarnation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct LifeMark(u16);
+pub struct IncarnationTag(u16);
 
-impl LifeMark {
-    /// The mark of a life that began at `life`, in Unix milliseconds.
+impl IncarnationTag {
+    /// The tag of the incarnation that started at `life`, in Unix milliseconds.
     pub fn of(life: u64) -> Self {
-        LifeMark(life as u16)
+        IncarnationTag(life as u16)
     }
 }
 
-/// Names a life of an endpoint in few bytes. Two that share a mark by chance count as one; work at them is then taken for
-/// more than it is.
+/// A short hash of an endpoint's incarnation. Two that collide count as one; their load is
+/// then overestimated.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct EndpointMark(u32);
+pub struct EndpointHash(u32);
 
-impl EndpointMark {
-    /// The mark of the life of `instance` that began at `life`, in Unix milliseconds.
+impl EndpointHash {
+    /// The hash of the incarnation of `instance` that started at `life`, in Unix
+    /// milliseconds.
     pub fn of(instance: &InstanceId, life: u64) -> Self {
-        EndpointMark(mix_bits(instance.stable_hash() ^ u64::from(LifeMark::of(life).0)) as u32)
+        EndpointHash(mix_bits(instance.stable_hash() ^ u64::from(IncarnationTag::of(life).0)) as u32)
     }
 
     pub(crate) fn value(self) -> u64 {
@@ -120,19 +122,19 @@
     }
 }
 
-/// What a process saw of an endpoint since its last report.
+/// What a process observed of an endpoint since its last report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "EvidenceFields", into = "EvidenceFields")]
 pub struct EndpointEvidence {
     /// The endpoint.
     pub instance: InstanceId,
-    /// Which life of it.
-    pub life: LifeMark,
-    /// What was seen.
+    /// Its incarnation.
+    pub life: IncarnationTag,
+    /// The observations.
     pub tally: EvidenceTally,
 }
 
-type EvidenceFields = (InstanceId, LifeMark, EvidenceTally);
+type EvidenceFields = (InstanceId, IncarnationTag, EvidenceTally);
 
 impl From<EvidenceFields> for EndpointEvidence {
     fn from((instance, life, tally): EvidenceFields) -> Self {
@@ -146,41 +148,41 @@
     }
 }
 
-/// The same of the requests of one route, while a roll-out of their service is under way.
+/// Observations of one route's requests, during a roll-out of its service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteEvidence {
     /// The route.
     #[serde(rename = "r")]
     pub route: CompactString,
-    /// What was seen of the endpoint.
+    /// The observations.
     #[serde(rename = "e")]
     pub seen: EndpointEvidence,
 }
 
-/// An endpoint that answers worse than the others of its service.
+/// An endpoint that performs worse than the others of its service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointVerdict {
     /// The endpoint.
     #[serde(rename = "i")]
     pub instance: InstanceId,
-    /// Which life of it.
+    /// Its incarnation.
     #[serde(rename = "l")]
-    pub life: LifeMark,
-    /// In what it is worse.
+    pub life: IncarnationTag,
+    /// In which respect it is worse.
     #[serde(rename = "b")]
     pub bad_trait: BadTrait,
 }
 
-/// What a process asked of a service since it began.
+/// Cumulative demand for a service at one process since it started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceDemand {
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// Requests, those refused for want of room included.
+    /// Requests, including those refused for lack of capacity.
     #[serde(rename = "r")]
     pub requests: u64,
-    /// Prompt tokens that had to be read.
+    /// Prompt tokens that had to be prefilled.
     #[serde(rename = "u")]
     pub unread_tokens: u64,
     /// Answer tokens.
@@ -191,101 +193,101 @@
     pub sent: u64,
 }
 
-/// What a process tells the collector.
+/// The report of a process to the collector.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// Who it is.
+    /// The reporter.
     #[serde(rename = "c")]
-    pub card: MemberCard,
-    /// Its own time of day.
+    pub member: MemberInfo,
+    /// Its wall clock.
     #[serde(rename = "w")]
     pub wall: ClockTime,
-    /// The turn of the collecting that it is in.
+    /// The collector term that it is in.
     #[serde(rename = "t")]
-    pub turn: u64,
-    /// What it knows of the members, as a mark.
+    pub term: u64,
+    /// A hash of the members it knows.
     #[serde(rename = "m")]
-    pub members_mark: u64,
+    pub members_hash: u64,
     /// Whether the store answers it.
     #[serde(rename = "f")]
     pub served: bool,
-    /// Its rules.
+    /// The status of its rules.
     #[serde(rename = "r")]
     pub rules: RulesStatus,
-    /// Its endpoint list.
+    /// The status of its endpoint list.
     #[serde(rename = "e")]
     pub roster: RosterStatus,
-    /// The state of a collector's endpoint list that it has taken.
+    /// The version of a collector's endpoint list that it applied last.
     #[serde(rename = "o")]
     pub roster_version: Option<RosterVersion>,
-    /// Its allotments; none from a process that is not sure yet whom to report them to.
+    /// Its claims; `None` from a process that does not know yet which collector to report them to.
     #[serde(rename = "s")]
     pub claims: Option<Vec<AccountClaim>>,
-    /// The ledger that it went by last.
+    /// The ledger that last gave it allotments.
     #[serde(rename = "b", default)]
     pub bond: Option<LedgerBond>,
-    /// The ledger that it kept until now.
+    /// The state of the ledger that it kept until now.
     #[serde(rename = "h", default)]
-    pub handed: Option<HandedLedger>,
-    /// What began to run, for the windows that are not reported yet.
+    pub handed: Option<LedgerHandover>,
+    /// Requests that began to run, for the windows that are not reported yet.
     #[serde(rename = "u")]
     pub usage: Vec<UsageCount>,
-    /// Its work at the endpoints.
+    /// Its load at the endpoints.
     #[serde(rename = "l")]
     pub loads: Vec<EndpointLoad>,
-    /// What it asked of the services that the system scales.
+    /// Its demand for the services that are scaled automatically.
     #[serde(rename = "q")]
     pub demand: Vec<ServiceDemand>,
-    /// How fast it saw engines read.
+    /// The prefill speed of engines, as it observed them.
     #[serde(rename = "v", default)]
     pub paces: Vec<ServicePace>,
-    /// What it saw of endpoints since its last report that was answered.
+    /// Its observations of endpoints since its last report that was answered.
     #[serde(rename = "j", default)]
     pub evidence: Vec<EndpointEvidence>,
-    /// What it saw of requests under which endpoints ended, since its last report that was answered.
+    /// Requests during which endpoints ended, observed since its last report that was answered.
     #[serde(rename = "d", default)]
     pub suspects: Vec<SuspectNote>,
-    /// What it knows of such requests of all processes, as a mark.
+    /// A hash of the requests of this kind that it knows from all processes.
     #[serde(rename = "k", default)]
-    pub suspects_mark: u64,
-    /// The same by route, of services of which a roll-out is under way.
+    pub suspects_hash: u64,
+    /// Observations by route, for services with a roll-out under way.
     #[serde(rename = "J", default, skip_serializing_if = "Vec::is_empty")]
     pub route_evidence: Vec<RouteEvidence>,
-    /// What endpoints said of themselves that the collector may not know.
+    /// Signals of endpoints that the collector may not know.
     #[serde(rename = "W", default, skip_serializing_if = "Vec::is_empty")]
-    pub words: Vec<EndpointWords>,
-    /// What it knows of such words, as a mark.
+    pub words: Vec<EndpointSignals>,
+    /// A hash of the signals it knows.
     #[serde(rename = "P", default)]
-    pub words_mark: u64,
-    /// The plans of roll-outs that it goes by, with their numbers.
+    pub signals_hash: u64,
+    /// The roll-out plans that it follows, with their numbers.
     #[serde(rename = "O", default, skip_serializing_if = "Vec::is_empty")]
     pub releases: Vec<(ServiceName, u64)>,
     /// Counts of other processes that it knows as a former collector.
     #[serde(rename = "H")]
-    pub heritage: Vec<NodeUsage>,
-    /// Members that did not answer it a moment ago.
+    pub inherited_usage: Vec<NodeUsage>,
+    /// Members that recently failed to answer it.
     #[serde(rename = "x")]
     pub unreached: Vec<InstanceId>,
-    /// The rules, if the collector asked for them.
+    /// The rules, if the collector requested them.
     #[serde(rename = "R")]
     pub rules_text: Option<FeedObject>,
-    /// What the collector lacks of the endpoint list, if it asked for it.
+    /// An update of the endpoint list for the collector, if it requested one.
     #[serde(rename = "E", default)]
     pub roster_update: Option<RosterUpdate>,
 }
 
-/// How many endpoints a service needed at the most of late.
+/// The recent peak of the number of endpoints that a service needed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServicePeak {
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// Endpoints.
+    /// The number of endpoints.
     #[serde(rename = "n")]
     pub needed: f64,
 }
 
-/// How fast a service's engines read.
+/// The prefill speed of a service's engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServicePace {
     /// The service.
@@ -296,10 +298,10 @@
     pub read: ReadPace,
 }
 
-/// The lease of the control work as its holder last wrote it.
+/// The control-work lease as its holder last wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseNotice {
-    /// The object's revision.
+    /// The revision of the object.
     #[serde(rename = "v")]
     pub revision: u64,
     /// The record.
@@ -307,31 +309,31 @@
     pub record: LeaseRecord,
 }
 
-/// What the collector answers.
+/// The collector's answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MeshDigest {
     /// The collector.
     #[serde(rename = "c")]
-    pub from: MemberCard,
-    /// The members, if the mark of the report is another.
+    pub from: MemberInfo,
+    /// The members, if the report's hash differs.
     #[serde(rename = "M")]
-    pub members: Option<Vec<MemberCard>>,
-    /// True time, as the members' clocks have it in the middle.
+    pub members: Option<Vec<MemberInfo>>,
+    /// True time, as the median of the members' clocks.
     #[serde(rename = "t")]
     pub true_time: ClockTime,
-    /// The rules that the collector has, and when the store last spoke for them to anybody.
+    /// The collector's rules, and when the store last confirmed them to any process.
     #[serde(rename = "r")]
     pub rules: RulesStatus,
     /// The same for the endpoint list.
     #[serde(rename = "e")]
     pub roster: RosterStatus,
-    /// The rules, if they are newer than the report's.
+    /// The rules, if they are newer than the reporter's.
     #[serde(rename = "R")]
     pub rules_text: Option<FeedObject>,
-    /// What the reporter lacks of the endpoint list.
+    /// An update of the reporter's endpoint list.
     #[serde(rename = "C")]
     pub roster_update: RosterUpdate,
-    /// The state that the list is in with it.
+    /// The version of the list after the update.
     #[serde(rename = "o")]
     pub roster_version: RosterVersion,
     /// Whether the next report should carry the rules.
@@ -343,28 +345,29 @@
     /// Allotments of the accounts.
     #[serde(rename = "a")]
     pub allotments: Vec<AccountAllotment>,
-    /// The other processes' work at the endpoints.
+    /// The load of other processes at the endpoints.
     #[serde(rename = "l")]
-    pub loads: LoadNews,
+    pub loads: LoadUpdate,
     /// Usage windows up to this number are reported.
     #[serde(rename = "u")]
     pub reported_window: u64,
-    /// What services needed, for the next holder of the control work.
+    /// Peak needs of services, for the next holder of the control work.
     #[serde(rename = "p")]
     pub peaks: Vec<ServicePeak>,
-    /// How fast all processes together saw engines read.
+    /// The prefill speed of engines, combined over all processes.
     #[serde(rename = "v", default)]
     pub paces: Vec<ServicePace>,
-    /// Endpoints that answer worse than the others of their service.
+    /// Endpoints that perform worse than the others of their service.
     #[serde(rename = "j", default)]
     pub verdicts: Vec<EndpointVerdict>,
-    /// Requests under which endpoints ended, if the mark of the report is another.
+    /// Requests during which endpoints ended, if the report's hash differs.
     #[serde(rename = "k", default)]
     pub suspects: Option<Vec<SuspectNote>>,
-    /// What endpoints said of themselves, if the mark of the report is another.
+    /// Signals of endpoints, if the report's hash differs.
     #[serde(rename = "W", default, skip_serializing_if = "Option::is_none")]
-    pub words: Option<Vec<EndpointWords>>,
-    /// The reporter's parts of what limited endpoints take; none while the collector does not hand them out.
+    pub words: Option<Vec<EndpointSignals>>,
+    /// The reporter's shares of limited endpoints' rates; `None` as long as the collector gives out
+    /// none.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
     pub rates: Option<Vec<RateShare>>,
     /// The lease, if the collector knows it.
@@ -375,48 +378,48 @@
     pub releases: ReleaseNews,
 }
 
-/// The members as one process knows them.
+/// The members as known to one process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberList {
-    /// Their cards, its own first.
+    /// The members, starting with the process itself.
     #[serde(rename = "m")]
-    pub cards: Vec<MemberCard>,
-    /// The collector that it goes by, if it knows one.
+    pub members: Vec<MemberInfo>,
+    /// The collector that it follows, if it knows one.
     #[serde(rename = "c")]
-    pub collector: Option<MemberCard>,
+    pub collector: Option<MemberInfo>,
 }
 
 /// A call or its answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MeshBody {
-    /// A process reports.
+    /// A report to the collector.
     #[serde(rename = "r")]
     Report(Box<NodeReport>),
-    /// The collector answers.
+    /// The collector's answer.
     #[serde(rename = "d")]
     Digest(Box<MeshDigest>),
-    /// A process needs room of an account.
+    /// A request for more of an account's limit.
     #[serde(rename = "k")]
-    Ask(LimitAsk),
-    /// The ledger's answer; none if there is no ledger here, or the claim can't be answered.
+    RequestLimit(LimitRequest),
+    /// The ledger's answer; `None` if there is no ledger here or the claim cannot be answered.
     #[serde(rename = "a")]
     Allotted(Option<Box<PoolAllotment>>),
-    /// A process asks for a part of the endpoint list.
+    /// A request for a part of the endpoint list.
     #[serde(rename = "p")]
-    AskPart(PartRequest),
-    /// The part.
+    RequestPart(PartRequest),
+    /// The requested part.
     #[serde(rename = "l")]
     Part(Box<RosterPart>),
-    /// The process asked cannot collect: it is stopping, as its card says.
+    /// The called process cannot collect: it is stopping, as its member info says.
     #[serde(rename = "x")]
-    Leaving(MemberCard),
-    /// A process looks for the others.
+    Leaving(MemberInfo),
+    /// An announcement of a process that asks for the members.
     #[serde(rename = "g")]
-    Greet(MemberCard),
-    /// What the process asked knows of the members.
+    Greet(MemberInfo),
+    /// The members that the called process knows.
     #[serde(rename = "m")]
     Members(MemberList),
-    /// The process asked goes by this collector, and so should the asker.
+    /// A redirect: the called process follows this collector, and so should the caller.
     #[serde(rename = "f")]
-    Follow(MemberCard),
+    Follow(MemberInfo),
 }
--- a/crates/mesh/src/rules.rs
+++ b/crates/mesh/src/rules.rs
@@ -1,4 +1,4 @@
-//! The operators' rules of one process: those in force, and when the store last spoke for them.
+//! The operators' rules of one process: those in force, and when the store last confirmed them.
 
 use crate::message::RulesStatus;
 use oleander_call::{RuleGate, RuleSet};
@@ -8,7 +8,7 @@
 use oleander_plat::FeedObject;
 use std::rc::Rc;
 
-/// The rules of one process. They only ever go on to a newer version.
+/// One process's replica of the rules. The version in force never decreases.
 #[derive(Default)]
 pub struct RulesBook {
     gate: RuleGate,
@@ -32,30 +32,30 @@
         self.text.as_ref()
     }
 
-    /// When the store last spoke for the rules in force, to whomever.
+    /// When the store last confirmed the rules in force to any process.
     pub fn freshness(&self) -> Option<&FreshnessStamp> {
         self.freshness.as_ref()
     }
 
-    /// How long ago that was.
+    /// The time since that confirmation.
     pub fn age(&self, now: ClockTime) -> Option<TimeSpan> {
         self.freshness.as_ref().map(|freshness| freshness.age(now))
     }
 
-    /// How the process stands with them.
+    /// The status of the rules, for peers.
     pub fn status(&self, now: ClockTime) -> RulesStatus {
         let freshness = self.freshness.as_ref().map(|freshness| freshness.note(now));
         RulesStatus { version: self.version(), freshness }
     }
 
-    /// Notes that the store spoke for the rules in force at `at`, to the process `by`.
-    pub fn hear(&mut self, at: ClockTime, by: InstanceId) {
+    /// Notes that the store confirmed the rules in force at `at` to the process `by`.
+    pub fn note_confirmed(&mut self, at: ClockTime, by: InstanceId) {
         let mark = self.version();
         merge_newer(&mut self.freshness, FreshnessStamp { mark, at, by });
     }
 
-    /// Takes when the store last spoke to another process, if this one has the same rules. What it
-    /// said was `late` on its way at the most.
+    /// Applies when the store last confirmed the rules to a peer that has the same version; `late`
+    /// is an upper bound on the time in transit.
     pub fn merge_freshness(&mut self, status: &RulesStatus, late: TimeSpan, now: ClockTime) {
         let told = status.freshness.as_ref().map(|note| note.received(late, now));
         if let Some(freshness) = told.filter(|freshness| freshness.mark == self.version()) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Puts `rules` in force if they are newer; says whether they were.
+    /// Puts `rules` in force if they are newer; returns whether they were.
     pub fn offer(&mut self, rules: RuleSet, text: &FeedObject) -> bool {
         let newer = self.gate.offer(rules);
         if newer {
--- a/crates/mesh/src/view.rs
+++ b/crates/mesh/src/view.rs
@@ -1,67 +1,68 @@
-//! The members as one process knows them, and which of them collects.
+//! The members as known to one process, and the choice of the collector among them.
 
-use crate::message::MemberCard;
+use crate::message::MemberInfo;
 use oleander_kind::hash::{HASH_START, mix_bits, rendezvous_weight, stable_hash};
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use std::collections::{BTreeMap, HashMap};
 
-/// How long a member that did not answer is passed over at first; doubled each time. A restarted one
-/// is used again after seconds, and a dead one costs a few timeouts before it is forgotten.
-const SHUNNED: TimeSpan = TimeSpan(2500);
-/// A member that nobody has heard of for this long is forgotten; one that comes back says so.
-const FORGOTTEN: TimeSpan = TimeSpan(20_000);
-/// How long a choice of the collector stays.
-const TURN_TIME: TimeSpan = TimeSpan(5000);
-/// What the collecting for some eighty processes takes of a link, in Mbit/s, and of a core.
+/// How long a member that did not answer is skipped at first; doubled with each failure. A
+/// restarted member is used again after seconds, and a dead one costs a few timeouts before it is
+/// removed.
+const UNRESPONSIVE_LIFETIME: TimeSpan = TimeSpan(2500);
+/// A member that nobody has heard of for this long is removed; one that returns announces itself.
+const MEMBER_LIFETIME: TimeSpan = TimeSpan(20_000);
+/// The length of a collector term.
+const TERM_LENGTH: TimeSpan = TimeSpan(5000);
+/// What collecting for about eighty processes uses of a link, in Mbit/s, and of a core.
 const COLLECT_LINK_MBPS: f64 = 7.8;
 const COLLECT_CORES: f64 = 0.03;
-/// The key that members are ranked by.
+/// The rendezvous key by which members are ranked.
 const COLLECTOR_KEY: &[u8] = b"collector";
 
 #[derive(Clone, Debug)]
 struct KnownMember {
-    card: MemberCard,
-    /// When it spoke for itself, or was first named.
+    member: MemberInfo,
+    /// When the member itself was heard, or was first named by another.
     heard_at: ClockTime,
     /// When the collector last named it.
     named_at: ClockTime,
 }
 
-/// The members.
+/// The membership view of one process.
 #[derive(Clone, Debug)]
 pub struct MeshView {
-    me: MemberCard,
+    me: MemberInfo,
     members: BTreeMap<InstanceId, KnownMember>,
-    shunned: HashMap<InstanceId, ShunnedMember>,
-    /// The collector chosen, and the turn in which it was.
+    unresponsive: HashMap<InstanceId, UnresponsiveMember>,
+    /// The collector and the term in which it was chosen.
     chosen: Option<(InstanceId, u64)>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct ShunnedMember {
+struct UnresponsiveMember {
     since: ClockTime,
     until: ClockTime,
     times: u32,
 }
 
 impl MeshView {
-    /// A process that knows itself.
-    pub fn new(me: MemberCard) -> Self {
-        MeshView { me, members: BTreeMap::new(), shunned: HashMap::new(), chosen: None }
+    /// A view that knows only this process.
+    pub fn new(me: MemberInfo) -> Self {
+        MeshView { me, members: BTreeMap::new(), unresponsive: HashMap::new(), chosen: None }
     }
 
-    /// Who this process is.
-    pub fn me(&self) -> &MemberCard {
+    /// This process.
+    pub fn me(&self) -> &MemberInfo {
         &self.me
     }
 
-    /// Notes that this process is stopping.
+    /// Records that this process is stopping.
     pub fn leave(&mut self) {
         self.me.leaving = true;
         self.me.edition += 1;
     }
 
-    /// Notes whether this process would rather not collect.
+    /// Records whether this process prefers not to collect.
     pub fn set_unfit(&mut self, unfit: bool) {
         if self.me.unfit != unfit {
             self.me.unfit = unfit;
@@ -69,225 +70,240 @@
         }
     }
 
-    /// Takes a member's card, from itself (`heard`) or by hearsay. The newest edition of the latest
-    /// life wins.
-    pub fn take(&mut self, card: MemberCard, heard: bool, now: ClockTime) {
-        if card.id == self.me.id {
+    /// Adds or updates a member, as announced by itself (`heard`) or by another process. The latest
+    /// edition of the latest incarnation wins.
+    pub fn take(&mut self, member: MemberInfo, heard: bool, now: ClockTime) {
+        if member.id == self.me.id {
             return;
         }
-        let age = |card: &MemberCard| (card.life, card.edition);
-        let known = self.members.get_mut(&card.id);
-        if let Some(known) = known.filter(|known| age(&known.card) >= age(&card)) {
-            if heard && known.card.life == card.life {
+        let age = |member: &MemberInfo| (member.life, member.edition);
+        let known = self.members.get_mut(&member.id);
+        if let Some(known) = known.filter(|known| age(&known.member) >= age(&member)) {
+            if heard && known.member.life == member.life {
                 known.heard_at = now;
-                self.shunned.remove(&card.id);
+                self.unresponsive.remove(&member.id);
             }
             return;
         }
-        let newborn = self.members.get(&card.id).is_none_or(|known| known.card.life < card.life);
-        if newborn || heard {
-            self.shunned.remove(&card.id);
+        let is_new_incarnation =
+            self.members.get(&member.id).is_none_or(|known| known.member.life < member.life);
+        if is_new_incarnation || heard {
+            self.unresponsive.remove(&member.id);
         }
-        let heard_at = match self.members.get(&card.id) {
+        let heard_at = match self.members.get(&member.id) {
             Some(known) if !heard => known.heard_at,
             _ => now,
         };
-        let named_at = self.members.get(&card.id).map_or(heard_at, |known| known.named_at);
-        self.members.insert(card.id.clone(), KnownMember { card, heard_at, named_at });
+        let named_at = self.members.get(&member.id).map_or(heard_at, |known| known.named_at);
+        self.members.insert(member.id.clone(), KnownMember { member, heard_at, named_at });
     }
 
-    /// Takes the collector's list of members: those it does not name, and that did not speak for
-    /// themselves a moment ago, are gone.
-    pub fn adopt(&mut self, cards: Vec<MemberCard>, now: ClockTime) {
-        /// Longer than a collector takes to hear of a new member.
-        const SPOKE_LATELY: TimeSpan = TimeSpan(3000);
-        let named: Vec<InstanceId> = cards.iter().map(|card| card.id.clone()).collect();
-        cards.into_iter().for_each(|card| self.take(card, false, now));
-        self.members.retain(|id, known| named.contains(id) || now - known.heard_at < SPOKE_LATELY);
-        self.confirm(now);
+    /// Applies the collector's member list: members that it does not name and that were not heard
+    /// recently are removed.
+    pub fn apply_members(&mut self, members: Vec<MemberInfo>, now: ClockTime) {
+        /// Longer than it takes until a collector knows a new member.
+        const HEARD_RECENTLY: TimeSpan = TimeSpan(3000);
+        let named: Vec<InstanceId> = members.iter().map(|member| member.id.clone()).collect();
+        members.into_iter().for_each(|member| self.take(member, false, now));
+        self.members
+            .retain(|id, known| named.contains(id) || now - known.heard_at < HEARD_RECENTLY);
+        self.refresh_members(now);
     }
 
-    /// Notes that the collector names just the members that are known.
+    /// Records that the collector's list names exactly the known members.
     ///
-    /// A process hears of most members from the collector alone. Without this it forgot each one
-    /// 20 s after it was first named, at another moment than the other processes did.
-    pub fn confirm(&mut self, now: ClockTime) {
+    /// A process knows most members only from the collector. Without this call each member was
+    /// removed 20 s after it was first named, at a different time at each process.
+    pub fn refresh_members(&mut self, now: ClockTime) {
         self.members.values_mut().for_each(|known| known.named_at = now);
     }
 
-    /// Notes that a member did not answer.
-    pub fn shun(&mut self, id: &InstanceId, now: ClockTime) {
-        let times = self.shunned.get(id).map_or(0, |shunned| shunned.times);
-        let until = now + TimeSpan(SHUNNED.0 << times.min(2));
-        self.shunned.insert(id.clone(), ShunnedMember { since: now, until, times: times + 1 });
+    /// Records that a member did not answer.
+    pub fn mark_unresponsive(&mut self, id: &InstanceId, now: ClockTime) {
+        let times = self.unresponsive.get(id).map_or(0, |unresponsive| unresponsive.times);
+        let until = now + TimeSpan(UNRESPONSIVE_LIFETIME.0 << times.min(2));
+        self.unresponsive
+            .insert(id.clone(), UnresponsiveMember { since: now, until, times: times + 1 });
     }
 
-    /// Members that did not answer a moment ago.
+    /// Members that recently failed to answer.
     pub fn unreached(&self, now: ClockTime) -> Vec<InstanceId> {
-        /// Longer than it takes to be sent back to one of them.
-        const MOMENT: TimeSpan = TimeSpan(2000);
-        let lately = self.shunned.iter().filter(|(_, shunned)| now - shunned.since < MOMENT);
+        /// Longer than it takes to be redirected to one of them.
+        const RECENT: TimeSpan = TimeSpan(2000);
+        let lately =
+            self.unresponsive.iter().filter(|(_, unresponsive)| now - unresponsive.since < RECENT);
         lately.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Takes a collector that another process goes by.
-    pub fn follow(&mut self, card: MemberCard, true_now: ClockTime, now: ClockTime) {
-        let turn = turn_at(true_now);
-        self.chosen = Some((card.id.clone(), turn.max(self.turn().min(turn + 1))));
-        self.take(card, true, now);
+    /// Adopts the collector that another process follows.
+    pub fn follow_collector(&mut self, member: MemberInfo, true_now: ClockTime, now: ClockTime) {
+        let term = term_at(true_now);
+        self.chosen = Some((member.id.clone(), term.max(self.term().min(term + 1))));
+        self.take(member, true, now);
     }
 
-    /// Forgets members that nobody has heard of for long.
+    /// Removes members that nobody has heard of for long.
     pub fn sweep(&mut self, now: ClockTime) {
-        self.members.retain(|_, known| now - known.heard_at.max(known.named_at) < FORGOTTEN);
+        self.members.retain(|_, known| now - known.heard_at.max(known.named_at) < MEMBER_LIFETIME);
         let members = &self.members;
-        self.shunned.retain(|id, _| members.contains_key(id));
+        self.unresponsive.retain(|id, _| members.contains_key(id));
     }
 
     /// All members but this process.
-    pub fn others(&self) -> impl Iterator<Item = &MemberCard> {
-        self.members.values().map(|known| &known.card)
+    pub fn others(&self) -> impl Iterator<Item = &MemberInfo> {
+        self.members.values().map(|known| &known.member)
     }
 
-    /// All members that are not stopping, this process included.
-    pub fn cards(&self) -> Vec<MemberCard> {
+    /// All members that are not stopping, including this process.
+    pub fn members(&self) -> Vec<MemberInfo> {
         let own = std::iter::once(&self.me);
-        own.chain(self.others()).filter(|card| !card.leaving).cloned().collect()
+        own.chain(self.others()).filter(|member| !member.leaving).cloned().collect()
     }
 
-    /// How many members are not stopping.
+    /// The number of members that are not stopping.
     pub fn serving(&self) -> u32 {
         let own = u32::from(!self.me.leaving);
-        own + self.others().filter(|card| !card.leaving).count() as u32
+        own + self.others().filter(|member| !member.leaving).count() as u32
     }
 
-    /// Among how many processes a limit is shared while no collector tells: the members known, or as
-    /// many as the settings name if that is more.
+    /// The number of processes among which a limit is shared as long as no collector has given
+    /// allotments: the known members, or the number configured in the settings if that is larger.
     ///
-    /// A process that begins names a few others and hears of the rest from them soon, but from a collector
-    /// later. Counting the named ones alone, processes that were all killed at once each let in the part of a
-    /// small group, and accounts passed their limits.
-    pub fn sharers(&self, named: u32) -> u32 {
+    /// A process that starts knows a few configured peers and soon learns of the rest from them,
+    /// but only later from a collector. With the configured peers alone, processes that were all
+    /// killed at the same time each admitted the share of a small group, and accounts exceeded
+    /// their limits.
+    pub fn limit_sharers(&self, named: u32) -> u32 {
         self.serving().max(named).max(1)
     }
 
-    /// A mark that differs if the members do.
-    pub fn mark(&self) -> u64 {
+    /// A hash of the member list.
+    pub fn members_hash(&self) -> u64 {
         let own = std::iter::once(&self.me);
-        own.chain(self.others()).fold(0, |mark, card| {
-            let edition = u64::from(card.edition);
-            mark ^ mix_bits(card.id.stable_hash() ^ mix_bits(card.life ^ mix_bits(edition)))
+        own.chain(self.others()).fold(0, |members_hash, member| {
+            let edition = u64::from(member.edition);
+            members_hash
+                ^ mix_bits(member.id.stable_hash() ^ mix_bits(member.life ^ mix_bits(edition)))
         })
     }
 
-    /// Chooses the member that collects: the first by standing (fit, strong, then by name) that is not
-    /// stopping and did not fail to answer a moment ago. Processes that see the same members agree.
+    /// Chooses the collector: the member of highest priority (fit, then capacity, then name) that
+    /// is not stopping and did not recently fail to answer. Processes with the same members choose
+    /// the same one.
     ///
-    /// The choice stays for a turn, which begins at the same true time everywhere, unless the member
-    /// chosen drops out. Otherwise each restart of a member of high rank would move the collecting
-    /// twice, and in between two collectors would each give out a part of every account's limit.
-    pub fn choose_collector(&mut self, true_now: ClockTime, now: ClockTime) -> MemberCard {
-        self.choose_in_turn(turn_at(true_now), now)
+    /// The choice holds for a term, which begins at the same true time everywhere, unless the
+    /// chosen member drops out. Otherwise each restart of a member of high rank would move the
+    /// collector twice, and in between two collectors would each give out a part of every account's
+    /// limit.
+    pub fn choose_collector(&mut self, true_now: ClockTime, now: ClockTime) -> MemberInfo {
+        self.choose_in_term(term_at(true_now), now)
     }
 
-    /// The turn in which the collector was chosen last; 0 if none was.
-    pub fn turn(&self) -> u64 {
-        self.chosen.as_ref().map_or(0, |(_, turn)| *turn)
+    /// The term in which the collector was last chosen; 0 if none was.
+    pub fn term(&self) -> u64 {
+        self.chosen.as_ref().map_or(0, |(_, term)| *term)
     }
 
-    /// Takes the turn of a process that asks this one to collect, if it is the next one.
+    /// Enters the term of a process that asks this one to collect, if it is the next one.
     ///
-    /// Turns begin at the same true time, which processes know to some 10 ms. One that is asked just
-    /// before its own clock reaches the turn goes by the last collector still, and sent the askers
-    /// there for the whole turn; a moment later it collected for itself alone. Each of the two gave out
-    /// every account's limit, the lease went to the one without counts, and a window's usage was not
-    /// told. A turn further ahead is somebody's wrong clock.
-    pub fn enter_turn(&mut self, turn: u64, true_now: ClockTime, now: ClockTime) {
-        if turn > self.turn() && turn <= turn_at(true_now) + 1 {
-            self.choose_in_turn(turn, now);
+    /// Terms begin at the same true time, which processes know to about 10 ms. A process that was
+    /// asked just before its own clock reached the term still followed the previous collector and
+    /// redirected the askers there for the whole term; a moment later it collected alone. Both
+    /// collectors gave out every account's limit, the lease went to the one without counts, and a
+    /// window's usage was not reported. A term further ahead comes from a wrong clock.
+    pub fn enter_term(&mut self, term: u64, true_now: ClockTime, now: ClockTime) {
+        if term > self.term() && term <= term_at(true_now) + 1 {
+            self.choose_in_term(term, now);
         }
     }
 
-    /// Stays with the collector of the last turn, which is another process and answers.
+    /// Keeps the collector of the last term, which is another process and answers.
     ///
-    /// Whether to go over to one of better standing is its own matter: it hands over what it keeps and sends the
-    /// others there. If each chose for itself, some would find the first by standing gone and choose the next one, while
-    /// others were sent back by it. Two ledgers would share every limit, each with all that was spent before on
-    /// its books, and every account would be refused for a turn.
-    pub fn stay(&mut self, true_now: ClockTime) {
-        let turn = turn_at(true_now).max(self.turn());
+    /// The current collector decides itself when to move to one of higher priority: it hands over
+    /// its state and redirects the others. If each process chose for itself, some would find the
+    /// member of highest priority unresponsive and choose the next one, while that member redirected
+    /// others back. Two ledgers would share every limit, each having recorded everything spent
+    /// before, and every account would be refused for a term.
+    pub fn keep_collector(&mut self, true_now: ClockTime) {
+        let term = term_at(true_now).max(self.term());
         let other = self.chosen.as_mut().filter(|(id, _)| *id != self.me.id);
         if let Some((_, chosen_in)) = other {
-            *chosen_in = turn;
+            *chosen_in = term;
         }
     }
 
-    fn choose_in_turn(&mut self, turn: u64, now: ClockTime) -> MemberCard {
-        // A turn that was entered early is not left again.
-        let turn = turn.max(self.turn().min(turn + 1));
-        let kept = self.chosen.as_ref().filter(|(_, chosen_in)| *chosen_in == turn);
-        let kept = kept
-            .and_then(|(id, _)| self.open(now).find(|card| card.id == *id && !card.unfit).cloned());
-        let card = kept.unwrap_or_else(|| self.first_open(now).clone());
-        self.chosen = Some((card.id.clone(), turn));
-        card
+    fn choose_in_term(&mut self, term: u64, now: ClockTime) -> MemberInfo {
+        // A term that was entered early is not left again.
+        let term = term.max(self.term().min(term + 1));
+        let kept = self.chosen.as_ref().filter(|(_, chosen_in)| *chosen_in == term);
+        let kept = kept.and_then(|(id, _)| {
+            self.candidates(now).find(|member| member.id == *id && !member.unfit).cloned()
+        });
+        let member = kept.unwrap_or_else(|| self.best_candidate(now).clone());
+        self.chosen = Some((member.id.clone(), term));
+        member
     }
 
-    fn first_open(&self, now: ClockTime) -> &MemberCard {
-        self.open(now).max_by_key(|card| standing(card)).unwrap_or(&self.me)
+    fn best_candidate(&self, now: ClockTime) -> &MemberInfo {
+        self.candidates(now).max_by_key(|member| priority(member)).unwrap_or(&self.me)
     }
 
-    /// Whether this process is among the first `count` by standing.
+    /// Whether this process is among the first `count` members by priority.
     pub fn is_among_first(&self, count: usize, now: ClockTime) -> bool {
-        let own = standing(&self.me);
-        self.open(now).filter(|card| standing(card) > own).count() < count
+        let own = priority(&self.me);
+        self.candidates(now).filter(|member| priority(member) > own).count() < count
     }
 
-    fn open(&self, now: ClockTime) -> impl Iterator<Item = &MemberCard> {
+    fn candidates(&self, now: ClockTime) -> impl Iterator<Item = &MemberInfo> {
         let own = std::iter::once(&self.me);
-        own.chain(self.others()).filter(move |card| {
-            !card.leaving && self.shunned.get(&card.id).is_none_or(|shunned| shunned.until <= now)
+        own.chain(self.others()).filter(move |member| {
+            !member.leaving
+                && self
+                    .unresponsive
+                    .get(&member.id)
+                    .is_none_or(|unresponsive| unresponsive.until <= now)
         })
     }
 
-    /// The collector that was chosen last.
+    /// The collector that was last chosen.
     pub fn chosen(&self) -> Option<&InstanceId> {
         self.chosen.as_ref().map(|(id, _)| id)
     }
 
-    /// Whether this process is the collector that it chose.
+    /// Whether this process is the collector it chose.
     pub fn collects(&self) -> bool {
         self.chosen.as_ref().is_some_and(|(id, _)| *id == self.me.id)
     }
 }
 
-/// The turn that every process was in a moment before `true_now`, as far as clocks agree.
-pub fn settled_turn(true_now: ClockTime) -> u64 {
-    /// Two periods of reports.
+/// The term that every process had entered shortly before `true_now`, as far as clocks agree.
+pub fn settled_term(true_now: ClockTime) -> u64 {
+    /// Two reporting periods.
     const MOMENT: TimeSpan = TimeSpan(500);
-    turn_at(true_now - MOMENT)
+    term_at(true_now - MOMENT)
 }
 
-fn turn_at(true_now: ClockTime) -> u64 {
-    true_now.0 / TURN_TIME.0
+fn term_at(true_now: ClockTime) -> u64 {
+    true_now.0 / TERM_LENGTH.0
 }
 
-/// How well an instance can carry the collecting: how often its scarcer resource holds what the
-/// collecting for some eighty processes takes, in powers of two.
+/// The capacity of an instance to collect: how many times its scarcer resource covers what
+/// collecting for about eighty processes takes, as a power of two.
 ///
-/// Instances differ twentyfold in their links. Digests, and callers besides, fill the link of a small one: reports get
-/// no answer in time, their senders choose another collector and ask the store themselves. Powers of two, so that
-/// like instances are ranked by their names and a restart moves the collecting no more often than among equals.
-pub fn collect_strength(link_mbps: f64, cores: f64) -> u32 {
+/// Links differ twentyfold between instances. On a small one, digests and callers saturate the
+/// link: reports are not answered in time, and their senders choose another collector and query the
+/// store themselves. Rounding to powers of two ranks similar instances by name, so that a restart
+/// moves the collector no more often than among equals.
+pub fn collector_capacity(link_mbps: f64, cores: f64) -> u32 {
     let times = (link_mbps / COLLECT_LINK_MBPS).min(cores / COLLECT_CORES);
     times.max(1.0).log2() as u32
 }
 
-/// The order in which members are chosen: fit ones, then strong ones, then by name.
-fn standing(card: &MemberCard) -> (bool, u32, u64) {
-    (!card.unfit, card.strength, rank(card))
+/// The order in which members are chosen: fit ones first, then by capacity, then by name.
+fn priority(member: &MemberInfo) -> (bool, u32, u64) {
+    (!member.unfit, member.capacity, rank(member))
 }
 
-fn rank(card: &MemberCard) -> u64 {
-    rendezvous_weight(stable_hash(HASH_START, COLLECTOR_KEY), card.id.stable_hash())
+fn rank(member: &MemberInfo) -> u64 {
+    rendezvous_weight(stable_hash(HASH_START, COLLECTOR_KEY), member.id.stable_hash())
 }
--- a/tests/all/evidence.rs
+++ b/tests/all/evidence.rs
@@ -10,7 +10,8 @@
 use oleandertack::kind::hash::mix_bits;
 use oleandertack::kind::{ClockTime, TimeSpan};
 use oleandertack::mesh::{
-    EndpointEvidence, EndpointJudge, EndpointLife, LifeMark, MeshCollector, NodeReport,
+    EndpointEvidence, EndpointIncarnation, IncarnationTag, MeshCollector, NodeReport,
+    OutlierDetector,
 };
 use oleandertack::place::EndpointBoard;
 use std::collections::{BTreeMap, BTreeSet};
@@ -93,10 +94,10 @@
 
     /// Plays `seconds`; an endpoint that is set aside is asked once in two seconds.
     fn run(&self, seconds: u64) -> SaidTimes {
-        let name = |at: usize| (format!("i-{at}").as_str().into(), LifeMark::default());
-        let names: Vec<EndpointLife> = (0..self.endpoints).map(name).collect();
+        let name = |at: usize| (format!("i-{at}").as_str().into(), IncarnationTag::default());
+        let names: Vec<EndpointIncarnation> = (0..self.endpoints).map(name).collect();
         let services = [names.clone()];
-        let mut judge = EndpointJudge::default();
+        let mut judge = OutlierDetector::default();
         let mut said: BTreeSet<usize> = BTreeSet::new();
         let mut times = SaidTimes::new();
         let mut on_the_way: BTreeMap<u64, Vec<(usize, AnswerSample)>> = BTreeMap::new();
@@ -300,7 +301,7 @@
 
 fn evidence(instance: &str, life: u64, failed: u16) -> EndpointEvidence {
     let tally = EvidenceTally { came: 3, failed, slowness: 0.0 };
-    EndpointEvidence { instance: instance.into(), life: LifeMark::of(life), tally }
+    EndpointEvidence { instance: instance.into(), life: IncarnationTag::of(life), tally }
 }
 
 /// Sound endpoints of which one process after the other tells the same.
@@ -309,8 +310,8 @@
     let told = reporters.iter().map(|reporter| {
         let evidence = names.iter().map(|name| evidence(name, 1, failed)).collect();
         let report = NodeReport { evidence, ..report(reporter) };
-        let known = |(instance, life): &EndpointLife| {
-            instance.as_str().starts_with("i-") && *life == LifeMark::of(1)
+        let known = |(instance, life): &EndpointIncarnation| {
+            instance.as_str().starts_with("i-") && *life == IncarnationTag::of(1)
         };
         let left_out = rig.collector.note_evidence(&report, known, now);
         rig.take(report, now);
@@ -319,8 +320,8 @@
     told.sum()
 }
 
-fn four_endpoints() -> [Vec<EndpointLife>; 1] {
-    [["i-0", "i-1", "i-2", "i-3"].map(|name| (name.into(), LifeMark::of(1))).to_vec()]
+fn four_endpoints() -> [Vec<EndpointIncarnation>; 1] {
+    [["i-0", "i-1", "i-2", "i-3"].map(|name| (name.into(), IncarnationTag::of(1))).to_vec()]
 }
 
 /// Callers of every process go on to a replica that fails, as each of them saw it fail once only. The
@@ -333,8 +334,8 @@
     let later = NOW + TimeSpan(300);
     let bad = vec![evidence("i-3", 1, 2), evidence("i-9", 2, 3), evidence("j-0", 1, 3)];
     let wall = TRUE_NOW + TimeSpan(300);
-    let knows = |(instance, life): &EndpointLife| {
-        instance.as_str().starts_with("i-") && *life == LifeMark::of(1)
+    let knows = |(instance, life): &EndpointIncarnation| {
+        instance.as_str().starts_with("i-") && *life == IncarnationTag::of(1)
     };
     let again = NodeReport { wall, evidence: bad, ..report("front-1") };
     assert_eq!(rig.collector.note_evidence(&again, knows, later), 2);
--- a/tests/all/keeping.rs
+++ b/tests/all/keeping.rs
@@ -3,7 +3,7 @@
 use crate::plays::{PlayGroup, play};
 use oleandertack::front::FrontProcess;
 use oleandertack::kind::AccountName;
-use oleandertack::mesh::MemberCard;
+use oleandertack::mesh::MemberInfo;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -78,7 +78,7 @@
         let node = group.processes[collector].node.clone();
         let (now, true_now) = (node.clock.now(), node.true_now());
 
-        node.mesh.borrow_mut().view.follow(other, true_now, now);
+        node.mesh.borrow_mut().view.follow_collector(other, true_now, now);
         sleep(REPORTED).await;
 
         let ledgers = ledgers(&group);
@@ -95,14 +95,14 @@
     play(async {
         let group = spending_group().await;
         let node = group.processes[group.collector()].node.clone();
-        let lost = MemberCard {
+        let lost = MemberInfo {
             id: "front-lost".into(),
             address: "127.0.0.1:1".parse().expect("an address"),
             ..node.mesh.borrow().view.me().clone()
         };
         let (now, true_now) = (node.clock.now(), node.true_now());
 
-        node.mesh.borrow_mut().view.follow(lost, true_now, now);
+        node.mesh.borrow_mut().view.follow_collector(lost, true_now, now);
         sleep(REPORTED).await;
 
         let ledgers = ledgers(&group);
@@ -176,17 +176,17 @@
         let group = spending_group().await;
         let collector = group.collector();
         let alone = &group.processes[(collector + 1) % PROCESSES].node;
-        let card = alone.mesh.borrow().view.me().clone();
+        let member = alone.mesh.borrow().view.me().clone();
         for _ in 0..13 {
             sleep(Duration::from_millis(100)).await;
             let (now, true_now) = (alone.clock.now(), alone.true_now());
-            alone.mesh.borrow_mut().view.follow(card.clone(), true_now, now);
+            alone.mesh.borrow_mut().view.follow_collector(member.clone(), true_now, now);
         }
         assert_eq!(group.processes.iter().filter(|process| has_ledger(process)).count(), 2);
 
         let node = &group.processes[collector].node;
         let (now, true_now) = (node.clock.now(), node.true_now());
-        node.mesh.borrow_mut().view.follow(card, true_now, now);
+        node.mesh.borrow_mut().view.follow_collector(member, true_now, now);
         sleep(REPORTED * 2).await;
 
         let others =
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -1,4 +1,4 @@
-//! Who collects, and what the collector makes of the reports.
+//! Tests of the choice of the collector and of how it handles reports.
 
 use crate::roster::{listed, roster_context};
 use oleandertack::call::{AccountRule, CallerBounds, RuleSet};
@@ -6,9 +6,9 @@
 use oleandertack::limit::{HoldClaim, LedgerPast, PoolLedger, PoolLimit};
 use oleandertack::list::{FreshnessNote, RosterReplica, RosterStatus, RosterUpdate, RosterVersion};
 use oleandertack::mesh::{
-    AccountClaim, CollectorFacts, EndpointLoad, EndpointMark, MemberCard, MeshBody, MeshCollector,
-    MeshDigest, MeshView, NodeReport, NodeUsage, RulesStatus, ServicePace, SleepWatch, TrueClock,
-    UsageCount, collect_strength, median_offset,
+    AccountClaim, CollectorContext, EndpointHash, EndpointLoad, MemberInfo, MeshBody,
+    MeshCollector, MeshDigest, MeshView, NodeReport, NodeUsage, PauseDetector, RulesStatus,
+    ServicePace, TrueClock, UsageCount, collector_capacity, median_offset,
 };
 use oleandertack::pace::ReadPace;
 use oleandertack::plat::FeedEvent;
@@ -19,15 +19,15 @@
 pub const NOW: ClockTime = ClockTime(1_000_000);
 pub const TRUE_NOW: ClockTime = ClockTime(1_700_000_000_000);
 
-fn card(name: &str) -> MemberCard {
-    MemberCard {
+fn member(name: &str) -> MemberInfo {
+    MemberInfo {
         id: name.into(),
         domain: "kopli".into(),
         address: "127.0.0.1:1".parse().expect("an address"),
         life: 1,
         leaving: false,
         unfit: false,
-        strength: 0,
+        capacity: 0,
         edition: 0,
     }
 }
@@ -36,12 +36,12 @@
     (0..count).map(|n| format!("front-{n}")).collect()
 }
 
-/// Views of processes that all know one another.
+/// The views of processes that all know one another.
 fn views(count: usize) -> Vec<MeshView> {
     let names = names(count);
     let view = |me: &String| {
-        let mut view = MeshView::new(card(me));
-        names.iter().for_each(|name| view.take(card(name), true, NOW));
+        let mut view = MeshView::new(member(me));
+        names.iter().for_each(|name| view.take(member(name), true, NOW));
         view
     };
     names.iter().map(view).collect()
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn a_collector_that_does_not_answer_is_passed_over_and_tried_again() {
+fn a_collector_that_does_not_answer_is_skipped_and_retried() {
     let mut views = views(3);
     let first = choices(&mut views, TRUE_NOW, NOW)[0].clone();
-    views.iter_mut().for_each(|view| view.shun(&first, NOW));
+    views.iter_mut().for_each(|view| view.mark_unresponsive(&first, NOW));
 
     let next = choices(&mut views, TRUE_NOW, NOW + TimeSpan(10));
     let later = choices(&mut views, TRUE_NOW + TimeSpan(5000), NOW + TimeSpan(5000));
@@ -73,13 +73,13 @@
 }
 
 #[test]
-fn the_collector_stays_for_its_turn_when_a_better_ranked_member_comes() {
-    // Machines are stopped and started one after the other. Each that came back once took the
-    // collecting over at once; two collectors side by side gave out half of each limit.
-    let mut view = MeshView::new(card("front-0"));
+fn the_collector_stays_for_its_term_when_a_member_of_higher_rank_joins() {
+    // Guards against moving the collector with every restart while machines are restarted one after
+    // the other: two collectors side by side gave out half of each limit.
+    let mut view = MeshView::new(member("front-0"));
     let first = view.choose_collector(TRUE_NOW, NOW).id;
 
-    names(9).iter().for_each(|name| view.take(card(name), true, NOW));
+    names(9).iter().for_each(|name| view.take(member(name), true, NOW));
     let in_turn = view.choose_collector(TRUE_NOW + TimeSpan(100), NOW + TimeSpan(100)).id;
     let next_turn = view.choose_collector(TRUE_NOW + TimeSpan(5000), NOW + TimeSpan(5000)).id;
 
@@ -88,14 +88,14 @@
 }
 
 #[test]
-fn a_process_that_begins_goes_by_the_collector_of_the_others() {
-    // A limit is passed: five of nine processes were killed and, back again, chose a collector among
-    // themselves, while the other four kept theirs for the rest of the turn.
+fn a_process_that_starts_follows_the_collector_of_the_others() {
+    // Guards against exceeding a limit: five of nine processes were killed, restarted, and chose a
+    // collector among themselves, while the other four kept theirs for the rest of the term.
     let first = choices(&mut views(9), TRUE_NOW, NOW)[0].clone();
     let kept = names(9).into_iter().rev().find(|name| *name != first.as_str()).expect("another");
     let mut begun = views(9).remove(0);
 
-    begun.follow(card(&kept), TRUE_NOW, NOW);
+    begun.follow_collector(member(&kept), TRUE_NOW, NOW);
     let in_turn = begun.choose_collector(TRUE_NOW + TimeSpan(10), NOW + TimeSpan(10)).id;
     let next_turn = begun.choose_collector(TRUE_NOW + TimeSpan(5000), NOW + TimeSpan(5000)).id;
 
@@ -103,36 +103,37 @@
     assert_eq!(next_turn, first);
 }
 
-/// Account levels grow old and processes ask the store themselves: of 83 processes one with a link of
-/// 10 Mbit/s collects, and the digests it has to send fill that link. Six others have twenty times
-/// the link; one of them is to collect as long as it is fit, and a small one only then.
+/// Guards against a collector on a slow link: one of 83 processes, with a link of 10 Mbit/s,
+/// collects, and its digests saturate the link, so that limits become stale and processes query the
+/// store themselves. Six others have twenty times the bandwidth; one of them must collect as long
+/// as it is fit.
 #[test]
 fn instances_with_strong_links_collect_before_small_ones() {
-    let strong = collect_strength(200.0, 0.5);
-    let small = collect_strength(10.0, 0.12);
-    let mut view = MeshView::new(MemberCard { strength: small, ..card("front-0") });
-    let sized = |(at, name): (usize, String)| MemberCard {
-        strength: if at < 3 { strong } else { small },
-        ..card(&format!("other-{name}"))
+    let strong = collector_capacity(200.0, 0.5);
+    let small = collector_capacity(10.0, 0.12);
+    let mut view = MeshView::new(MemberInfo { capacity: small, ..member("front-0") });
+    let sized = |(at, name): (usize, String)| MemberInfo {
+        capacity: if at < 3 { strong } else { small },
+        ..member(&format!("other-{name}"))
     };
-    names(40).into_iter().enumerate().map(sized).for_each(|card| view.take(card, true, NOW));
+    names(40).into_iter().enumerate().map(sized).for_each(|member| view.take(member, true, NOW));
 
     let first = view.choose_collector(TRUE_NOW, NOW);
-    view.shun(&first.id, NOW);
+    view.mark_unresponsive(&first.id, NOW);
     let second = view.choose_collector(TRUE_NOW, NOW + TimeSpan(10));
 
     assert!(small < strong, "{small} {strong}");
-    assert_eq!((first.strength, second.strength), (strong, strong));
+    assert_eq!((first.capacity, second.capacity), (strong, strong));
     assert_ne!(first.id, second.id);
 }
 
 #[test]
-fn a_member_that_leaves_or_is_turned_away_by_the_store_does_not_collect() {
+fn a_member_that_leaves_or_is_refused_by_the_store_does_not_collect() {
     let mut all = views(4);
     let first = choices(&mut all, TRUE_NOW, NOW)[0].clone();
     for changed in [
-        MemberCard { leaving: true, edition: 1, ..card(first.as_str()) },
-        MemberCard { unfit: true, edition: 2, ..card(first.as_str()) },
+        MemberInfo { leaving: true, edition: 1, ..member(first.as_str()) },
+        MemberInfo { unfit: true, edition: 2, ..member(first.as_str()) },
     ] {
         all.iter_mut().for_each(|view| view.take(changed.clone(), true, NOW));
 
@@ -144,21 +145,21 @@
 }
 
 #[test]
-fn old_news_of_a_member_changes_nothing() {
-    let mut view = MeshView::new(card("front-0"));
-    view.take(MemberCard { leaving: true, edition: 1, ..card("front-1") }, true, NOW);
+fn old_member_info_is_ignored() {
+    let mut view = MeshView::new(member("front-0"));
+    view.take(MemberInfo { leaving: true, edition: 1, ..member("front-1") }, true, NOW);
 
-    view.take(card("front-1"), false, NOW);
+    view.take(member("front-1"), false, NOW);
     assert_eq!(view.serving(), 1);
 
-    view.take(MemberCard { life: 2, ..card("front-1") }, false, NOW);
+    view.take(MemberInfo { life: 2, ..member("front-1") }, false, NOW);
     assert_eq!(view.serving(), 2);
 }
 
 #[test]
-fn true_time_is_the_middle_clock() {
-    // The time of day jumps by seconds on a third of the machines and back again. Usage would be
-    // counted into wrong windows.
+fn true_time_is_the_median_of_the_clocks() {
+    // Guards against counting usage in the wrong windows: the wall clock jumps by seconds on a
+    // third of the machines and back again.
     assert_eq!(median_offset(vec![100, 101, 99, 2500, -1900]), Some(100));
 
     let mut clock = TrueClock::default();
@@ -167,13 +168,13 @@
     assert_eq!(clock.read(NOW + TimeSpan(1000), jumped), TRUE_NOW + TimeSpan(1005));
 }
 
-/// A report that tells of nothing.
+/// A report without content.
 pub fn report(name: &str) -> NodeReport {
     NodeReport {
-        card: card(name),
+        member: member(name),
         wall: TRUE_NOW,
-        turn: 0,
-        members_mark: 0,
+        term: 0,
+        members_hash: 0,
         served: false,
         rules: RulesStatus { version: 1, freshness: None },
         roster: status(1, 0, 1),
@@ -184,15 +185,15 @@
         usage: Vec::new(),
         loads: Vec::new(),
         demand: Vec::new(),
-        heritage: Vec::new(),
+        inherited_usage: Vec::new(),
         paces: Vec::new(),
         evidence: Vec::new(),
         route_evidence: Vec::new(),
         releases: Vec::new(),
         suspects: Vec::new(),
-        suspects_mark: 0,
+        suspects_hash: 0,
         words: Vec::new(),
-        words_mark: 0,
+        signals_hash: 0,
         unreached: Vec::new(),
         rules_text: None,
         roster_update: None,
@@ -203,18 +204,18 @@
     UsageCount { window, account: "tartu".into(), count }
 }
 
-/// A collector and what its process knows.
+/// A collector and the state of its process.
 pub struct CollectorRig {
     view: MeshView,
     pub collector: MeshCollector,
     rules: RuleSet,
     roster: RosterReplica,
     limit: Option<PoolLimit>,
-    pub oldest_turn: u64,
+    pub oldest_term: u64,
     paces: Vec<ServicePace>,
 }
 
-/// A collector that has heard nobody.
+/// A collector that has received no report.
 pub fn rig() -> CollectorRig {
     CollectorRig {
         view: views(3).remove(0),
@@ -226,7 +227,7 @@
         rules: RuleSet::new(1, CallerBounds::default()),
         roster: RosterReplica::default(),
         limit: None,
-        oldest_turn: 0,
+        oldest_term: 0,
         paces: Vec::new(),
     }
 }
@@ -234,7 +235,7 @@
 impl CollectorRig {
     pub fn take(&mut self, report: NodeReport, now: ClockTime) -> MeshDigest {
         let suspects = SuspectBook::default();
-        let facts = CollectorFacts {
+        let context = CollectorContext {
             suspects: &suspects,
             rules: Some(&self.rules),
             rules_text: None,
@@ -247,27 +248,27 @@
             paces: self.paces.clone(),
             lease: None,
             releases: ReleaseNews::default(),
-            oldest_turn: self.oldest_turn,
+            oldest_term: self.oldest_term,
             now,
         };
-        self.collector.take(report, &self.view, &facts)
+        self.collector.take(report, &self.view, &context)
     }
 }
 
 impl CollectorRig {
-    pub fn members_mark(&self) -> u64 {
-        self.view.mark()
+    pub fn members_hash(&self) -> u64 {
+        self.view.members_hash()
     }
 }
 
-/// How a process stands that was told of a list as of `mark` some ms ago.
+/// The status of a process that was sent a list at `mark`, `age` ms ago.
 fn status(mark: u64, age: u64, sum: u64) -> RosterStatus {
     let freshness = FreshnessNote { mark, age: TimeSpan(age), by: "front-2".into() };
     RosterStatus { freshness: Some(freshness), sum, ..RosterStatus::default() }
 }
 
 impl CollectorRig {
-    /// The collector takes the list of another process, as of `mark`.
+    /// The collector applies another process's list at `mark`.
     fn take_list(&mut self, names: &[&str], mark: u64) {
         let objects = names.iter().map(|name| listed(name, 5)).collect();
         let update = RosterUpdate::Whole(objects);
@@ -275,7 +276,7 @@
         self.roster.apply_update(&update, told, None, &roster_context(NOW));
     }
 
-    /// Gives the rules an account with a limit.
+    /// Adds an account with a limit to the rules.
     pub fn limit_account(&mut self) {
         let account = AccountRule {
             name: "tartu".into(),
@@ -293,7 +294,7 @@
 }
 
 #[test]
-fn counts_that_come_twice_or_out_of_order_count_once() {
+fn usage_received_twice_or_out_of_order_counts_once() {
     let mut rig = rig();
 
     rig.take(NodeReport { usage: vec![count(7, 5)], ..report("front-1") }, NOW);
@@ -305,21 +306,21 @@
 }
 
 #[test]
-fn counts_of_a_process_that_is_gone_reach_the_next_collector() {
-    // A window's usage is too low: a process stopped, then the collector it had told its last counts
-    // to, and the next one never heard of them.
+fn usage_of_a_stopped_process_reaches_the_next_collector() {
+    // Guards against reporting too little usage: a process stopped, then the collector that had its
+    // last counts, and the next collector never received them.
     let mut first = rig();
     first.take(NodeReport { usage: vec![count(7, 5)], ..report("front-1") }, NOW);
     let passed: Vec<NodeUsage> = first.collector.usage();
 
     let mut second = rig();
-    second.take(NodeReport { heritage: passed, ..report("front-0") }, NOW);
+    second.take(NodeReport { inherited_usage: passed, ..report("front-0") }, NOW);
 
     assert_eq!(second.collector.usage_of(7).get(&AccountName::from("tartu")), Some(&5));
 }
 
 #[test]
-fn a_process_that_has_the_collectors_list_gets_only_changes() {
+fn a_process_with_the_collectors_list_gets_only_changes() {
     let mut rig = rig();
     rig.take_list(&["i-0", "i-1"], 5);
     let first = rig.take(report("front-1"), NOW);
@@ -340,9 +341,10 @@
 }
 
 #[test]
-fn a_collector_asks_for_the_list_of_one_that_heard_more() {
-    // Requests went to a removed endpoint for 5 s: the collector's watch had fallen silent without
-    // an end, and it took itself for informed while another process had the news.
+fn a_collector_requests_the_list_of_a_process_that_is_ahead() {
+    // Guards against requests to a removed endpoint for 5 s: the collector's watch fell silent
+    // without closing, and the collector counted as up to date although another process had the
+    // change.
     let mut rig = rig();
     rig.take_list(&["i-0"], 5);
 
@@ -351,40 +353,40 @@
 
     assert!(digest.wants_roster);
     assert_eq!(digest.roster_update, RosterUpdate::Behind);
-    assert!(rig.collector.is_outdone(&"front-0".into(), NOW));
-    // One whose list is the same has nothing to send.
+    assert!(rig.collector.is_other_served(&"front-0".into(), NOW));
+    // A process with the same list has nothing to send.
     let same = status(6, 0, rig.roster.status(NOW).sum);
     assert!(!rig.take(NodeReport { roster: same, ..report("front-1") }, NOW).wants_roster);
 }
 
-/// Requests go to endpoints that left seconds ago. The collector stood still; when it wakes it
-/// finds reports in its sockets that say how old their news was when they were written, and passes
-/// it on as that old.
+/// Guards against requests to endpoints that left seconds ago. After a pause the collector finds
+/// reports in its sockets, whose ages hold for the time they were written, and passes their data on
+/// as if they had just been written.
 #[test]
-fn what_a_report_says_of_its_age_holds_for_when_it_was_written() {
+fn ages_in_a_report_count_from_when_it_was_written() {
     let mut rig = rig();
     let later = |ms| NOW + TimeSpan(ms);
     let sent = |ms| NodeReport { wall: TRUE_NOW + TimeSpan(ms), ..report("front-1") };
     rig.take(sent(0), NOW);
 
-    let in_time = rig.collector.lateness(&sent(250), TRUE_NOW + TimeSpan(250), later(252));
-    let late = rig.collector.lateness(&sent(500), TRUE_NOW + TimeSpan(4500), later(4500));
+    let in_time = rig.collector.report_delay(&sent(250), TRUE_NOW + TimeSpan(250), later(252));
+    let late = rig.collector.report_delay(&sent(500), TRUE_NOW + TimeSpan(4500), later(4500));
     let unheard = NodeReport { wall: TRUE_NOW, ..report("front-2") };
-    let unheard = rig.collector.lateness(&unheard, TRUE_NOW + TimeSpan(3000), later(3000));
+    let unheard = rig.collector.report_delay(&unheard, TRUE_NOW + TimeSpan(3000), later(3000));
 
     assert_eq!((in_time, late, unheard), (TimeSpan(2), TimeSpan(4000), TimeSpan(3000)));
 }
 
-/// The collector dies 20 s after a follower first heard of the others. The follower knew them by the
-/// collector's list alone, which named them all the time, and forgot each 20 s after it had first
-/// heard of it. It chooses another collector than those that heard of a member later; two groups
-/// give out every account's limit by parts of their own, and an account runs 8 % too much.
+/// Guards against an account that gets 8 % too much. The collector dies 20 s after a follower first
+/// learned of the other members. The follower knew them only from the collector's list, and removed
+/// each 20 s after its first mention. It chooses another collector than processes that learned of a
+/// member later, and two groups give out every account's limit independently.
 #[test]
-fn members_that_the_collector_goes_on_naming_are_not_forgotten() {
-    let mut view = MeshView::new(card("front-1"));
-    let others = || vec![card("front-0"), card("front-2"), card("front-3")];
-    view.adopt(others(), NOW);
-    view.adopt(others(), NOW + TimeSpan(19_000));
+fn members_named_by_the_collector_are_kept() {
+    let mut view = MeshView::new(member("front-1"));
+    let others = || vec![member("front-0"), member("front-2"), member("front-3")];
+    view.apply_members(others(), NOW);
+    view.apply_members(others(), NOW + TimeSpan(19_000));
 
     view.sweep(NOW + TimeSpan(21_000));
 
@@ -392,10 +394,10 @@
 }
 
 #[test]
-fn a_list_that_is_unchanged_is_as_good_as_one_that_is_sent() {
-    let mut view = MeshView::new(card("front-1"));
-    view.adopt(vec![card("front-0"), card("front-2")], NOW);
-    view.confirm(NOW + TimeSpan(19_000));
+fn an_unchanged_member_list_refreshes_the_members() {
+    let mut view = MeshView::new(member("front-1"));
+    view.apply_members(vec![member("front-0"), member("front-2")], NOW);
+    view.refresh_members(NOW + TimeSpan(19_000));
 
     view.sweep(NOW + TimeSpan(21_000));
 
@@ -403,65 +405,66 @@
 }
 
 #[test]
-fn members_that_nobody_names_any_more_are_forgotten() {
-    let mut view = MeshView::new(card("front-1"));
-    view.adopt(vec![card("front-0"), card("front-2")], NOW);
-    view.confirm(NOW + TimeSpan(1000));
+fn members_no_longer_named_are_removed() {
+    let mut view = MeshView::new(member("front-1"));
+    view.apply_members(vec![member("front-0"), member("front-2")], NOW);
+    view.refresh_members(NOW + TimeSpan(1000));
 
     view.sweep(NOW + TimeSpan(21_000));
 
     assert_eq!(view.serving(), 1);
 }
 
-/// Every process is killed at once and started again, and accounts press. Each names three others in
-/// its settings, hears of all nine from them at once, and has no collector yet. By thirds each would
-/// let in three times its part.
+/// Guards against exceeding limits after a restart of all processes: each has three peers in its
+/// settings, learns of all nine from them at once, and has no collector yet. With a third of the
+/// limit each, it would admit three times its share.
 #[test]
-fn limits_are_shared_among_all_that_are_heard_of_before_a_collector_tells() {
-    let mut view = MeshView::new(card("front-0"));
-    assert_eq!(view.sharers(3), 3);
+fn limits_are_shared_among_all_known_members_before_a_collector_answers() {
+    let mut view = MeshView::new(member("front-0"));
+    assert_eq!(view.limit_sharers(3), 3);
 
-    names(9).iter().for_each(|name| view.take(card(name), false, NOW));
+    names(9).iter().for_each(|name| view.take(member(name), false, NOW));
 
-    assert_eq!(view.sharers(3), 9);
+    assert_eq!(view.limit_sharers(3), 9);
 }
 
-/// A window's usage is not told, and limits are given out twice for 5 s. A process has just come back
-/// and is the first by standing. The others' clocks reach the turn some ms before its own: they ask it
-/// to collect, and it sent them to the last collector for the whole turn. Then it collected alone.
+/// Guards against unreported usage and limits given out twice for 5 s. A process that has just
+/// returned has the highest priority. The others' clocks reach the term a few ms before its own:
+/// they ask it to collect, and it redirected them to the previous collector for the whole term,
+/// then collected alone.
 #[test]
-fn a_process_that_is_asked_before_its_own_clock_reaches_the_turn_collects() {
+fn a_process_asked_before_its_own_clock_reaches_the_term_collects() {
     let turn_begin = ClockTime(TRUE_NOW.0 / 5000 * 5000 + 5000);
     let first = choices(&mut views(4), turn_begin, NOW)[0].clone();
     let last = names(4).iter().map(|name| InstanceId::from(name.as_str())).find(|id| *id != first);
     let mut asked = views(4).into_iter().find(|view| view.me().id == first).expect("one of them");
     let before = ClockTime(turn_begin.0 - 10);
-    asked.follow(card(last.expect("another").as_str()), before, NOW);
+    asked.follow_collector(member(last.expect("another").as_str()), before, NOW);
 
-    asked.enter_turn(turn_begin.0 / 5000, before, NOW);
+    asked.enter_term(turn_begin.0 / 5000, before, NOW);
 
     assert!(asked.collects());
-    // And it stays so when its own clock has not reached the turn at its next report.
+    // The choice holds if its own clock has not reached the term at its next report.
     assert_eq!(asked.choose_collector(ClockTime(turn_begin.0 - 5), NOW + TimeSpan(5)).id, first);
     assert_eq!(asked.choose_collector(turn_begin + TimeSpan(100), NOW + TimeSpan(110)).id, first);
 }
 
-/// A process whose clock is wrong by minutes asks another to collect in a turn that is far away.
+/// A process whose clock is wrong by minutes asks another to collect in a term that is far away.
 #[test]
-fn a_turn_far_ahead_is_not_entered() {
+fn a_term_far_ahead_is_not_entered() {
     let mut view = views(4).remove(0);
     view.choose_collector(TRUE_NOW, NOW);
-    let turn = view.turn();
+    let term = view.term();
 
-    view.enter_turn(turn + 20, TRUE_NOW, NOW);
+    view.enter_term(term + 20, TRUE_NOW, NOW);
 
-    assert_eq!(view.turn(), turn);
+    assert_eq!(view.term(), term);
 }
 
-/// Digests fill the collector's link: 83 processes get one four times a second. What one takes is a
-/// figure of docs/CAPACITY.md.
+/// Guards against saturating the collector's link: 83 processes get a digest four times a second.
+/// The size of a digest is stated in docs/CAPACITY.md.
 #[test]
-fn a_digest_of_a_grown_deployment_stays_small() {
+fn a_digest_of_a_large_deployment_stays_small() {
     let mut rig = rig();
     let accounts = (0..16).map(|number| AccountRule {
         name: format!("account-{number:02}").as_str().into(),
@@ -485,7 +488,7 @@
         },
     };
     let load = |number: usize| EndpointLoad {
-        endpoint: mark(&format!("i-{number:010}"), 1_750_000_000_000),
+        endpoint: endpoint_hash(&format!("i-{number:010}"), 1_750_000_000_000),
         requests: 12,
         unread_tokens: 40_000,
     };
@@ -501,7 +504,7 @@
     rig.take_list(&[], 5);
     let known = NodeReport {
         roster_version: state,
-        members_mark: rig.view.mark(),
+        members_hash: rig.view.members_hash(),
         rules: RulesStatus { version: 5, freshness: None },
         ..report("front-2")
     };
@@ -511,31 +514,35 @@
     assert!((1600..2000).contains(&bytes), "{bytes}");
 }
 
-/// Accounts are refused for seconds below their limits. The collector was suspended; the others chose
-/// another, and it went on with its old windows when it woke, as its steady clock had stood still too.
+/// Guards against refusing accounts below their limits for seconds: the collector was suspended
+/// while the others chose another one, and resumed with its old windows because its monotonic clock
+/// had stopped too.
 #[test]
-fn a_process_notices_that_it_stood_still() {
-    let mut watch = SleepWatch::default();
+fn a_process_detects_that_it_was_paused() {
+    let mut watch = PauseDetector::default();
     let later = |ms: u64| ClockTime(TRUE_NOW.0 + ms);
 
-    assert!(!watch.slept(TRUE_NOW, NOW));
-    assert!(!watch.slept(later(250), NOW + TimeSpan(250)));
-    // Suspended for 4 s between two looks.
-    assert!(watch.slept(later(4500), NOW + TimeSpan(500)));
-    assert!(!watch.slept(later(4750), NOW + TimeSpan(750)));
-    // It alone was stopped: all its clocks went on.
-    assert!(!watch.slept(later(5800), NOW + TimeSpan(1800)));
-    assert!(watch.slept(later(9200), NOW + TimeSpan(5200)));
-    assert!(!watch.slept(later(9450), NOW + TimeSpan(5450)));
+    assert!(!watch.was_paused(TRUE_NOW, NOW));
+    assert!(!watch.was_paused(later(250), NOW + TimeSpan(250)));
+    // Suspended for 4 s between two checks.
+    assert!(watch.was_paused(later(4500), NOW + TimeSpan(500)));
+    assert!(!watch.was_paused(later(4750), NOW + TimeSpan(750)));
+    // Only the process was stopped: all its clocks went on.
+    assert!(!watch.was_paused(later(5800), NOW + TimeSpan(1800)));
+    assert!(watch.was_paused(later(9200), NOW + TimeSpan(5200)));
+    assert!(!watch.was_paused(later(9450), NOW + TimeSpan(5450)));
 }
 
-/// A new endpoint gets nothing for a second: it started again under its name, and what the others still
-/// report of its former life is counted as work of the new one.
+/// Guards against a new endpoint that gets no requests for a second: it restarted under the same
+/// name, and load that others still report for its earlier incarnation was counted for the new one.
 #[test]
-fn work_of_two_lives_of_an_endpoint_is_told_apart() {
+fn load_of_two_incarnations_of_an_endpoint_is_separate() {
     let mut rig = rig();
-    let load =
-        |life, requests| EndpointLoad { endpoint: mark("i-0", life), requests, unread_tokens: 0 };
+    let load = |life, requests| EndpointLoad {
+        endpoint: endpoint_hash("i-0", life),
+        requests,
+        unread_tokens: 0,
+    };
     let former = NodeReport { loads: vec![load(1000, 9)], ..report("front-1") };
     let next = NodeReport { loads: vec![load(9000, 2)], ..report("front-2") };
     rig.take(former, NOW);
@@ -548,25 +555,26 @@
     assert_eq!(told, [load(9000, 2), load(1000, 9)]);
 }
 
-/// Names a life of an endpoint.
-pub fn mark(instance: &str, life: u64) -> EndpointMark {
-    EndpointMark::of(&instance.into(), life)
+/// The hash of an endpoint's incarnation.
+pub fn endpoint_hash(instance: &str, life: u64) -> EndpointHash {
+    EndpointHash::of(&instance.into(), life)
 }
 
 fn pace(service: &str, per_ms: f32, seen: f32) -> ServicePace {
     ServicePace { service: service.into(), read: ReadPace { per_ms, seen } }
 }
 
-/// A process that has just begun refuses callers, or lets queues grow: it has seen no engine read yet.
-/// The collector tells it what the others saw, and what its predecessor told until they report.
+/// Guards against refused callers or long queues at a process that has just started and has not
+/// observed any prefill. The collector sends it what the others observed, and until they report,
+/// what the previous collector knew.
 #[test]
-fn a_process_that_begins_is_told_how_fast_engines_read() {
+fn a_process_that_starts_is_sent_the_prefill_speed_of_engines() {
     let mut rig = rig();
     rig.paces = vec![pace("a", 50.0, 1e6), pace("b", 70.0, 1e6)];
     let saw = |name, per_ms| NodeReport { paces: vec![pace("a", per_ms, 3e4)], ..report(name) };
     rig.take(saw("front-1", 110.0), NOW);
     rig.take(saw("front-2", 120.0), NOW);
-    // One that goes by an engine which has turned slow.
+    // A process that uses an engine which has become slow.
     rig.take(saw("front-4", 20.0), NOW);
 
     let digest = rig.take(report("front-3"), NOW);
