--- a/tests/all/size.rs
+++ b/tests/all/size.rs
@@ -1,7 +1,7 @@
-//! What news takes of the links of large fleets, in virtual time: reports and answers of hundreds of processes before ten
-//! times as many endpoints.
+//! Message sizes in large fleets, in virtual time: reports and answers of hundreds of processes
+//! with ten times as many endpoints.
 
-use crate::mesh::{CollectorRig, NOW, mark, report, rig};
+use crate::mesh::{CollectorRig, NOW, endpoint_hash, report, rig};
 use crate::roster::{listed, roster_context};
 use oleandertack::kind::hash::mix_bits;
 use oleandertack::kind::{ClockTime, RequestRate, TimeSpan};
@@ -10,20 +10,20 @@
     RosterUpdate, RosterVersion,
 };
 use oleandertack::mesh::{
-    EndpointLoad, EndpointMark, EndpointWords, LoadTable, MeshBody, NodeReport, RateShare,
-    digest_account, words_mark,
+    EndpointHash, EndpointLoad, EndpointSignals, LoadTable, MeshBody, NodeReport, RateShare,
+    digest_part_sizes, signals_hash,
 };
 use oleandertack::plat::{FeedEvent, FeedObject, FeedPage};
 use oleandertack::wire::encode_frame;
 use std::collections::BTreeMap;
 
-/// Endpoints for each process.
+/// Endpoints per process.
 const ENDPOINTS_EACH: usize = 10;
-/// Reports of each process in a second.
+/// Reports per process and second.
 const REPORTS_PER_S: usize = 4;
-/// What the collector's link may carry of news at 300 processes.
+/// The limit on bytes per second that the collector may send at 300 processes.
 const MOST_PER_S: usize = 3_000_000;
-/// Endpoints that one process has requests at.
+/// Endpoints at which one process has requests.
 const BUSY_EACH: usize = 20;
 
 fn endpoint(number: usize) -> String {
@@ -35,7 +35,7 @@
         let lot = mix_bits((process * BUSY_EACH + turn) as u64);
         let number = (process * ENDPOINTS_EACH + turn) % endpoints;
         EndpointLoad {
-            endpoint: mark(&endpoint(number), 7),
+            endpoint: endpoint_hash(&endpoint(number), 7),
             requests: 1 + (lot % 5) as u32,
             unread_tokens: (lot >> 8) % 30_000,
         }
@@ -43,12 +43,13 @@
     (0..BUSY_EACH).map(load).collect()
 }
 
-/// A collector of `processes` that have all reported.
+/// A collector with `processes` reporters, all of which have reported.
 fn fleet(processes: usize) -> CollectorRig {
     let endpoints = processes * ENDPOINTS_EACH;
     let mut rig = rig();
-    let marks: Vec<EndpointMark> = (0..endpoints).map(|at| mark(&endpoint(at), 7)).collect();
-    rig.collector.list_endpoints(BTreeMap::from([("engine".into(), marks)]));
+    let marks: Vec<EndpointHash> =
+        (0..endpoints).map(|at| endpoint_hash(&endpoint(at), 7)).collect();
+    rig.collector.set_endpoints(BTreeMap::from([("engine".into(), marks)]));
     for process in 0..processes {
         rig.take(busy_report(process, endpoints), NOW);
     }
@@ -59,16 +60,17 @@
     NodeReport { loads: busy_loads(process, endpoints), ..report(&format!("front-{process}")) }
 }
 
-/// Digests fill the collector's link, its answers come too late, and processes that get none refuse callers for want of
-/// limits: each was told of the work at every endpoint.
+/// Guards against saturating the collector's link by sending each process the load of every
+/// endpoint: answers arrive too late, and processes without answers refuse callers for lack of
+/// limits.
 #[test]
-fn news_of_work_does_not_grow_with_processes_times_endpoints() {
+fn load_messages_do_not_grow_with_processes_times_endpoints() {
     for processes in [100, 300] {
         let mut rig = fleet(processes);
-        let members_mark = rig.members_mark();
+        let members_hash = rig.members_hash();
 
         let settled = |process| NodeReport {
-            members_mark,
+            members_hash,
             ..busy_report(process, processes * ENDPOINTS_EACH)
         };
         let told = |process| {
@@ -82,25 +84,26 @@
     }
 }
 
-/// A process sends its requests to engines that are far behind: it was told nothing of them and takes them for idle.
+/// Guards against sending requests to engines with long queues: a process that was not sent their
+/// load treats them as idle.
 #[test]
-fn engines_that_a_process_is_not_told_of_count_with_the_mean() {
+fn engines_not_listed_for_a_process_count_with_the_mean() {
     let mut table = LoadTable::default();
-    let names: Vec<EndpointMark> = (0..1000).map(|at| mark(&endpoint(at), 7)).collect();
-    table.list(BTreeMap::from([("engine".into(), names.clone())]));
+    let names: Vec<EndpointHash> = (0..1000).map(|at| endpoint_hash(&endpoint(at), 7)).collect();
+    table.set_endpoints(BTreeMap::from([("engine".into(), names.clone())]));
     let load = |endpoint| EndpointLoad { endpoint, requests: 4, unread_tokens: 1000 };
     let mut all: Vec<EndpointLoad> = names.iter().copied().map(load).collect();
     all[5].unread_tokens = 900_000;
     table.note(&"front-1".into(), &all, NOW);
     table.note(&"front-2".into(), &[load(names[5])], NOW);
 
-    let news = table.news_for(&"front-2".into(), NOW);
-    let own = table.news_for(&"front-1".into(), NOW);
+    let news = table.loads_for(&"front-2".into(), NOW);
+    let own = table.loads_for(&"front-1".into(), NOW);
 
-    let at = |told: &oleandertack::mesh::LoadNews, endpoint| {
+    let at = |told: &oleandertack::mesh::LoadUpdate, endpoint| {
         told.loads.iter().find(|load| load.endpoint == endpoint).copied()
     };
-    // The one that nobody should add to is told to all, each time less the reporter's own work.
+    // The most loaded endpoint is sent to all processes, each time without the reporter's own load.
     assert_eq!(at(&news, names[5]).map(|load| load.unread_tokens), Some(900_000));
     assert_eq!(at(&own, names[5]).map(|load| load.unread_tokens), Some(1000));
     assert!(news.loads.len() < 128, "{}", news.loads.len());
@@ -108,11 +111,12 @@
     assert_eq!((mean.requests, mean.unread_tokens), (4, 1000));
 }
 
-/// Work of a process that fell silent weighs on engines for good, or counts twice when it reports again.
+/// Guards against load that stays on engines after its process fell silent, or that counts twice
+/// when the process reports again.
 #[test]
-fn work_counts_once_and_ends_with_its_process() {
+fn load_counts_once_and_ends_with_its_process() {
     let mut table = LoadTable::default();
-    let at = mark("i-0", 7);
+    let at = endpoint_hash("i-0", 7);
     let load = |requests| [EndpointLoad { endpoint: at, requests, unread_tokens: 10 }];
     table.note(&"front-1".into(), &load(5), NOW);
     table.note(&"front-1".into(), &load(3), NOW + TimeSpan(250));
@@ -122,7 +126,7 @@
     table.note(&"front-2".into(), &load(2), NOW + TimeSpan(1500));
 
     assert_eq!((both, table.requests_at(at)), (5, 2));
-    assert!(table.news_for(&"front-2".into(), NOW + TimeSpan(1500)).loads.is_empty());
+    assert!(table.loads_for(&"front-2".into(), NOW + TimeSpan(1500)).loads.is_empty());
 }
 
 const LIST_LENGTH: usize = 3000;
@@ -132,7 +136,8 @@
     FeedPage { objects, as_of }
 }
 
-/// The list of a process that has heard the store for so long until `now` that nothing can have lapsed.
+/// A replica that has been in contact with the store for so long until `now` that no entry can have
+/// expired.
 fn heard(page: &FeedPage, now: ClockTime) -> RosterReplica {
     let mut book = RosterReplica::default();
     for ago in [3000, 2000, 1000, 0] {
@@ -148,10 +153,10 @@
     book.apply_store_changes(events, freshness, &roster_context(now));
 }
 
-/// A start fills all links: two processes that read the store a moment apart differ by one entry, and the collector sends
-/// each the whole list.
+/// Guards against saturating all links at a start: two processes that read the store at slightly
+/// different times differ by one entry, and the collector sends each the whole list.
 #[test]
-fn a_list_that_is_a_little_older_is_brought_up_by_what_changed() {
+fn a_slightly_older_list_is_updated_by_changes() {
     let page = page(LIST_LENGTH, 5000);
     let mut collector = heard(&page, NOW);
     let mut other = heard(&page, NOW);
@@ -169,10 +174,10 @@
     assert_eq!(other.revision(), 5002);
 }
 
-/// An endpoint that left goes on getting requests: a process whose list is older than the changes that are kept was sent a
-/// part of them.
+/// Guards against requests to an endpoint that has left: a process whose list is older than the
+/// kept changes was sent only some of the changes.
 #[test]
-fn changes_that_are_not_kept_any_more_are_not_left_out() {
+fn changes_no_longer_kept_are_not_skipped() {
     let mut collector = heard(&page(LIST_LENGTH, 5000), NOW);
     let mut other = RosterStatus { freshness: None, sum: 1, ..RosterStatus::default() };
 
@@ -180,7 +185,7 @@
     other = heard(&page(LIST_LENGTH, 4999), NOW).status(NOW);
     other.sum = 1;
     let older = collector.update_for(&other, None, 9);
-    // Ten times the list's length of changes: the first ones are dropped.
+    // Changes for ten times the list's length, so that the first ones are dropped.
     for mark in 5001..5001 + 10 * LIST_LENGTH as u64 {
         change(&mut collector, &[FeedEvent::Put(listed("i-new", mark))], mark, NOW);
     }
@@ -191,9 +196,10 @@
     assert_eq!(collector.update_for(&lost, None, 9), RosterUpdate::InParts);
 }
 
-/// Processes never get a list: it takes their small links longer than they wait for an answer.
+/// Guards against processes that never get a list because it takes longer on their slow links than
+/// they wait for an answer.
 #[test]
-fn a_whole_list_is_put_together_from_parts() {
+fn a_whole_list_is_assembled_from_parts() {
     let mut sender = heard(&page(LIST_LENGTH, 5000), NOW);
     let mut parts = PartsAssembler::default();
     let mut ask = PartRequest::default();
@@ -202,7 +208,7 @@
         let part = sender.part(&ask, NOW);
         let body = MeshBody::Part(Box::new(part.clone()));
         largest = largest.max(encode_frame(1, body).len());
-        // Meanwhile an entry leaves that is in a part which was sent.
+        // Meanwhile an entry is removed that was in a part already sent.
         let first = endpoint(0);
         change(
             &mut sender,
@@ -221,15 +227,16 @@
     let rest = sender.update_for(&taker.status(NOW), None, 9);
     taker.apply_update(&rest, (&sender.status(NOW), TimeSpan(0)), None, &roster_context(NOW));
 
-    // 30 KB take a link of 10 Mbit/s 24 ms.
+    // 30 KB take 24 ms on a link of 10 Mbit/s.
     assert!(largest < 40_000, "{largest}");
     assert!(matches!(&rest, RosterUpdate::Changes(events) if events.len() == 1), "{rest:?}");
     assert_eq!(taker.status(NOW).sum, sender.status(NOW).sum);
 }
 
-/// A list is put together from an older one and a newer one, and lacks what the older did not have.
+/// Guards against assembling a list from parts of an older and a newer list, which would lack
+/// entries missing from the older one.
 #[test]
-fn parts_of_an_older_list_are_left_out() {
+fn parts_of_an_older_list_are_rejected() {
     let newer = heard(&page(LIST_LENGTH, 5000), NOW);
     let older = heard(&page(LIST_LENGTH - 1, 4000), NOW);
     let mut parts = PartsAssembler::default();
@@ -248,7 +255,8 @@
     assert!(next.iter().all(|object| object.name > after));
 }
 
-/// Answers of the collector come too late while endpoints start or leave by the hundred: each carries all that changed.
+/// Guards against late answers of the collector while hundreds of endpoints start or leave, when
+/// each answer carries all changes.
 #[test]
 fn many_changes_travel_in_parts() {
     let page = page(LIST_LENGTH, 5000);
@@ -279,11 +287,12 @@
     assert_eq!(taker.objects().len(), LIST_LENGTH - 1);
 }
 
-/// While processes start by the hundred, each start is a change of the members; all cards in each answer fill the links.
+/// Guards against saturating links while hundreds of processes start: each start changes the
+/// members, and every answer carried the whole member list.
 #[test]
-fn the_members_are_not_told_at_each_change() {
+fn the_members_are_not_sent_at_each_change() {
     let mut rig = rig();
-    let differs = || NodeReport { members_mark: 1, ..report("front-1") };
+    let differs = || NodeReport { members_hash: 1, ..report("front-1") };
 
     let first = rig.take(differs(), NOW);
     let soon = rig.take(differs(), NOW + TimeSpan(10));
@@ -292,16 +301,17 @@
     assert!(first.members.is_some() && soon.members.is_none() && later.members.is_some());
 }
 
-/// Requests reach an endpoint four seconds after it said that it leaves: a process missed that change in a watch whose history
-/// the store forgot, and was sent only what changed since the revision that it believed its list to be as of.
+/// Guards against requests to an endpoint four seconds after it announced that it leaves: a process
+/// missed that change in a watch after the store discarded its history, and was then sent only the
+/// changes since the revision that it believed its list to have.
 #[test]
-fn a_list_with_a_hole_is_set_right_while_the_store_goes_on() {
+fn a_list_with_a_hole_is_repaired_while_the_store_advances() {
     let page = page(100, 5000);
     let mut collector = heard(&page, NOW);
     let mut other = heard(&page, NOW);
     let missed = FeedEvent::Put(listed(&endpoint(3), 5001));
     change(&mut collector, &[missed], 5001, NOW);
-    // The other one's watch was answered as of the same revision, and lacked it.
+    // The other process's watch was answered at the same revision but without the change.
     change(&mut other, &[], 5001, NOW);
 
     for step in 1..=3 {
@@ -313,7 +323,7 @@
         other.apply_update(&update, told, Some(state), &roster_context(now));
         let age = other.freshness().map(|freshness| now - freshness.at);
         let agrees = other.status(now).sum == collector.status(now).sum;
-        // News that is known to be incomplete does not count as new.
+        // An update known to be incomplete does not make the list fresher.
         assert!(agrees || age > Some(TimeSpan(0)), "step {step}");
     }
 
@@ -321,10 +331,11 @@
     assert_eq!(other.status(at_end).sum, collector.status(at_end).sum);
 }
 
-/// The links of the process that collects fill up while endpoints are in need: what these say travels to all in each answer.
+/// Guards against saturating the collector's link while endpoints are overloaded: their signals are
+/// sent to all processes in each answer.
 #[test]
-fn a_hundred_limited_endpoints_cost_an_exchange_little_once_they_are_known() {
-    let said = |at: u64| EndpointWords {
+fn a_hundred_limited_endpoints_add_little_to_an_exchange_once_known() {
+    let said = |at: u64| EndpointSignals {
         instance: format!("i-{at:08x}").as_str().into(),
         life: 1_790_000_000_000 + at,
         limit: Some(RequestRate::per_second(2.8)),
@@ -332,11 +343,11 @@
         leaves: false,
     };
     let share = |at: u64| RateShare {
-        endpoint: EndpointMark::of(&format!("i-{at:08x}").as_str().into(), at),
+        endpoint: EndpointHash::of(&format!("i-{at:08x}").as_str().into(), at),
         per_s: 0.85,
     };
-    let words: Vec<EndpointWords> = (0..100).map(said).collect();
-    // Each of 60 processes holds a part of five of a hundred endpoints that have three holders each.
+    let words: Vec<EndpointSignals> = (0..100).map(said).collect();
+    // Each of 60 processes has shares of five of a hundred endpoints that have three holders each.
     let shares: Vec<RateShare> = (0..5).map(share).collect();
 
     let (all, each) = (bytes_of(Some(words.clone()), Vec::new()), bytes_of(None, shares));
@@ -345,17 +356,17 @@
     assert!(each < 80, "{each} bytes in each answer");
     let mut changed = words.clone();
     changed[7].age = TimeSpan(900);
-    assert_eq!(words_mark(&words), words_mark(&changed), "an age is no change");
-    changed.push(EndpointWords { limit: None, ..said(200) });
-    assert_eq!(words_mark(&words), words_mark(&changed), "nor an end that others never knew");
+    assert_eq!(signals_hash(&words), signals_hash(&changed), "an age is no change");
+    changed.push(EndpointSignals { limit: None, ..said(200) });
+    assert_eq!(signals_hash(&words), signals_hash(&changed), "nor an end that others never knew");
     changed[7].limit = Some(RequestRate::per_second(2.7));
-    assert_ne!(words_mark(&words), words_mark(&changed));
+    assert_ne!(signals_hash(&words), signals_hash(&changed));
 }
 
-/// Bytes that such words and parts take of an answer.
-fn bytes_of(words: Option<Vec<EndpointWords>>, rates: Vec<RateShare>) -> usize {
+/// The bytes of an answer taken by these signals and shares.
+fn bytes_of(words: Option<Vec<EndpointSignals>>, rates: Vec<RateShare>) -> usize {
     let mut digest = rig().take(report("front-1"), NOW);
     (digest.words, digest.rates) = (words, Some(rates));
-    let account = digest_account(&digest);
+    let account = digest_part_sizes(&digest);
     account.iter().find(|(part, _)| *part == "words").map(|(_, bytes)| *bytes).expect("counted")
 }
