--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -6,8 +6,8 @@
 use actix_web::{HttpResponse, web};
 use compact_str::CompactString;
 use oleander_kind::{RequestRate, ServiceName};
-use oleander_list::StoreVouch;
-use oleander_mesh::NewsAccount;
+use oleander_list::FreshnessStamp;
+use oleander_mesh::PartSizes;
 use oleander_release::ReleaseTold;
 use oleander_suspect::{RequestPrint, SuspectRecord};
 use serde_json::{Value, json};
@@ -33,11 +33,11 @@
 /// `MOST_LISTED` endpoints and members are listed.
 pub fn dump_state(node: &FrontNode) -> Value {
     let now = node.clock.now();
-    let feed = |state: crate::feed::FeedState, vouch: Option<&StoreVouch>| {
+    let feed = |state: crate::feed::FeedState, freshness: Option<&FreshnessStamp>| {
         json!({
-            "age_ms": vouch.map(|vouch| vouch.age(now).0),
-            "vouched_by": vouch.map(|vouch| vouch.by.as_str()),
-            "mark": vouch.map(|vouch| vouch.mark),
+            "age_ms": freshness.map(|freshness| freshness.age(now).0),
+            "vouched_by": freshness.map(|freshness| freshness.by.as_str()),
+            "mark": freshness.map(|freshness| freshness.mark),
             "known_since_ms": state.known_since.map(|at| (now - at).0),
             "lost_for_ms": state.lost_since.map(|at| (now - at).0),
             "watching": state.watching,
@@ -45,7 +45,7 @@
     };
     let mesh = node.mesh.borrow();
     let (rules, roster) = (node.rules.borrow(), node.roster.borrow());
-    let stand = roster.stand(now);
+    let status = roster.status(now);
     json!({
         "format": 1,
         "instance": node.settings.instance.as_str(),
@@ -54,10 +54,10 @@
         "in_flight": node.in_flight.get(),
         "rules_version": rules.version(),
         "rules_fresh": node.rules_are_fresh(),
-        "rules_feed": feed(node.rules_feed.get(), rules.vouch()),
-        "endpoints_feed": feed(node.endpoints_feed.get(), roster.vouch()),
-        "list_unsettled_ms": stand.unsettled.map(|left| left.0),
-        "doubts": stand.doubted.iter().take(MOST_LISTED).map(|doubt| json!({
+        "rules_feed": feed(node.rules_feed.get(), rules.freshness()),
+        "endpoints_feed": feed(node.endpoints_feed.get(), roster.freshness()),
+        "list_unsettled_ms": status.unsettled.map(|left| left.0),
+        "doubts": status.doubted.iter().take(MOST_LISTED).map(|doubt| json!({
             "endpoint": doubt.name.as_str(),
             "for_ms": doubt.left.0,
         })).collect::<Vec<_>>(),
@@ -68,7 +68,7 @@
         "held_requests": dump_held(node),
         "idle_connections": node.pool.borrow().len(),
         "known_prompt_parts": node.prefixes.borrow().len(),
-        "members": mesh.view.cards().iter().take(MOST_LISTED).map(|card| card.id.as_str().to_owned()).collect::<Vec<_>>(),
+        "members": mesh.view.members().iter().take(MOST_LISTED).map(|member| member.id.as_str().to_owned()).collect::<Vec<_>>(),
         "collector": mesh.view.chosen().map(|id| id.as_str()),
         "collects": mesh.collector.is_some(),
         "lease": mesh.lease.as_ref().map(|lease| json!({
@@ -87,7 +87,7 @@
     })
 }
 
-fn dump_account(account: &NewsAccount) -> Value {
+fn dump_account(account: &PartSizes) -> Value {
     let part = |(name, bytes): &(&str, usize)| ((*name).to_owned(), json!(bytes));
     Value::Object(account.iter().map(part).collect())
 }
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -18,8 +18,8 @@
 use oleander_kind::hash::mix_bits;
 use oleander_kind::{AccountName, ClockTime, ServiceName, TimeSpan};
 use oleander_limit::PoolGate;
-use oleander_list::{AgeLimits, RosterBook};
-use oleander_mesh::{MemberCard, MeshBody, RulesBook, ServiceDemand, collect_strength};
+use oleander_list::{RosterReplica, StalenessLimits};
+use oleander_mesh::{MemberInfo, MeshBody, RulesBook, ServiceDemand, collector_capacity};
 use oleander_outlet::{HttpCodec, LinkPool};
 use oleander_pace::{ASSUMED_PER_MS, PaceBook, ReadPace, ReadSample};
 use oleander_place::{
@@ -67,7 +67,7 @@
     /// How the feed of endpoints stands.
     pub endpoints_feed: Cell<FeedState>,
     /// The endpoint list as it was read.
-    pub roster: RefCell<RosterBook>,
+    pub roster: RefCell<RosterReplica>,
     /// The endpoints.
     pub endpoints: RefCell<EndpointBoard>,
     /// What is known of roll-outs.
@@ -137,14 +137,14 @@
         store: Box<dyn FeedStore>,
         clock: NodeClock,
     ) -> Rc<Self> {
-        let me = MemberCard {
+        let me = MemberInfo {
             id: settings.instance.clone(),
             domain: settings.domain.clone(),
             address: settings.peer,
             life: clock.wall().0,
             leaving: false,
             unfit: false,
-            strength: collect_strength(settings.link_mbps, settings.cores),
+            capacity: collector_capacity(settings.link_mbps, settings.cores),
             edition: 0,
         };
         let window = TimeSpan((settings.bounds.usage_window_s * 1000.0) as u64);
@@ -222,7 +222,7 @@
 
     /// How many processes serve callers, this one included, as far as it is known.
     pub fn process_count(&self) -> u32 {
-        self.mesh.borrow().view.sharers(self.seeds.borrow().len() as u32)
+        self.mesh.borrow().view.limit_sharers(self.seeds.borrow().len() as u32)
     }
 
     /// Peers to ask if no other is known.
@@ -266,7 +266,7 @@
 
     /// How old the endpoint list is; none if the store never spoke for it.
     pub fn roster_age(&self) -> Option<TimeSpan> {
-        self.roster.borrow().vouch().map(|vouch| vouch.age(self.clock.now()))
+        self.roster.borrow().freshness().map(|freshness| freshness.age(self.clock.now()))
     }
 
     /// How old the rules are; none if the store never spoke for them.
@@ -275,13 +275,13 @@
     }
 
     /// How old the endpoint list may grow.
-    pub fn roster_limits(&self) -> AgeLimits {
-        AgeLimits::within(TimeSpan(self.bounds().drain_ms))
+    pub fn roster_limits(&self) -> StalenessLimits {
+        StalenessLimits::within(TimeSpan(self.bounds().drain_ms))
     }
 
     /// How old the rules may grow.
-    pub fn rules_limits(&self) -> AgeLimits {
-        AgeLimits::within(TimeSpan(self.bounds().apply_ms))
+    pub fn rules_limits(&self) -> StalenessLimits {
+        StalenessLimits::within(TimeSpan(self.bounds().apply_ms))
     }
 
     /// Whether a change of the rules that must be in force by now would be known here.
--- a/crates/mesh/src/rules.rs
+++ b/crates/mesh/src/rules.rs
@@ -1,19 +1,19 @@
-//! The operators' rules of one process: those in force, and when the store last spoke for them.
+//! The operators' rules of one process: those in force, and when the store last confirmed them.
 
-use crate::message::RulesStand;
+use crate::message::RulesStatus;
 use oleander_call::{RuleGate, RuleSet};
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
-use oleander_list::StoreVouch;
-use oleander_list::vouch::renew;
+use oleander_list::FreshnessStamp;
+use oleander_list::freshness::merge_newer;
 use oleander_plat::FeedObject;
 use std::rc::Rc;
 
-/// The rules of one process. They only ever go on to a newer version.
+/// One process's replica of the rules. The version in force never decreases.
 #[derive(Default)]
 pub struct RulesBook {
     gate: RuleGate,
     text: Option<FeedObject>,
-    vouch: Option<StoreVouch>,
+    freshness: Option<FreshnessStamp>,
 }
 
 impl RulesBook {
@@ -32,38 +32,38 @@
         self.text.as_ref()
     }
 
-    /// When the store last spoke for the rules in force, to whomever.
-    pub fn vouch(&self) -> Option<&StoreVouch> {
-        self.vouch.as_ref()
+    /// When the store last confirmed the rules in force to any process.
+    pub fn freshness(&self) -> Option<&FreshnessStamp> {
+        self.freshness.as_ref()
     }
 
-    /// How long ago that was.
+    /// The time since that confirmation.
     pub fn age(&self, now: ClockTime) -> Option<TimeSpan> {
-        self.vouch.as_ref().map(|vouch| vouch.age(now))
+        self.freshness.as_ref().map(|freshness| freshness.age(now))
     }
 
-    /// How the process stands with them.
-    pub fn stand(&self, now: ClockTime) -> RulesStand {
-        let vouch = self.vouch.as_ref().map(|vouch| vouch.note(now));
-        RulesStand { version: self.version(), vouch }
+    /// The status of the rules, for peers.
+    pub fn status(&self, now: ClockTime) -> RulesStatus {
+        let freshness = self.freshness.as_ref().map(|freshness| freshness.note(now));
+        RulesStatus { version: self.version(), freshness }
     }
 
-    /// Notes that the store spoke for the rules in force at `at`, to the process `by`.
-    pub fn hear(&mut self, at: ClockTime, by: InstanceId) {
+    /// Notes that the store confirmed the rules in force at `at` to the process `by`.
+    pub fn note_confirmed(&mut self, at: ClockTime, by: InstanceId) {
         let mark = self.version();
-        renew(&mut self.vouch, StoreVouch { mark, at, by });
+        merge_newer(&mut self.freshness, FreshnessStamp { mark, at, by });
     }
 
-    /// Takes when the store last spoke to another process, if this one has the same rules. What it
-    /// said was `late` on its way at the most.
-    pub fn take_vouch(&mut self, stand: &RulesStand, late: TimeSpan, now: ClockTime) {
-        let told = stand.vouch.as_ref().map(|note| note.received(late, now));
-        if let Some(vouch) = told.filter(|vouch| vouch.mark == self.version()) {
-            renew(&mut self.vouch, vouch);
+    /// Applies when the store last confirmed the rules to a peer that has the same version; `late`
+    /// is an upper bound on the time in transit.
+    pub fn merge_freshness(&mut self, status: &RulesStatus, late: TimeSpan, now: ClockTime) {
+        let told = status.freshness.as_ref().map(|note| note.received(late, now));
+        if let Some(freshness) = told.filter(|freshness| freshness.mark == self.version()) {
+            merge_newer(&mut self.freshness, freshness);
         }
     }
 
-    /// Puts `rules` in force if they are newer; says whether they were.
+    /// Puts `rules` in force if they are newer; returns whether they were.
     pub fn offer(&mut self, rules: RuleSet, text: &FeedObject) -> bool {
         let newer = self.gate.offer(rules);
         if newer {
