--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -9,7 +9,7 @@
 use oleander_list::StoreVouch;
 use oleander_mesh::NewsAccount;
 use oleander_release::ReleaseTold;
-use oleander_suspect::{RequestPrint, SuspectRecord};
+use oleander_suspect::{RequestFingerprint, SuspectRecord};
 use serde_json::{Value, json};
 use std::rc::Rc;
 
@@ -98,7 +98,7 @@
 fn dump_held(node: &FrontNode) -> Vec<Value> {
     let now = node.clock.now();
     let suspects = node.suspects.borrow();
-    let held = |(print, record): (RequestPrint, &SuspectRecord)| {
+    let held = |(print, record): (RequestFingerprint, &SuspectRecord)| {
         json!({
             "print": print.to_string(),
             "for_ms": suspects.held_for(&print, now).map(|left| left.0),
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -12,7 +12,7 @@
 use oleander_outlet::{IdleLink, LinkError, SentLink, SocketBounds};
 use oleander_pace::ReadSample;
 use oleander_place::{AnswerGrade, EndpointFact, EndpointKey, PlaceChoice, expected_first};
-use oleander_suspect::{BrokenTimes, EndedLife};
+use oleander_suspect::{AttemptTimes, EndpointIncarnation};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 /// What an attempt needs to know of its endpoint.
 struct AttemptTarget {
     key: EndpointKey,
-    life: EndedLife,
+    life: EndpointIncarnation,
     address: SocketAddr,
     version: CompactString,
 }
@@ -77,11 +77,11 @@
         let (Some((life, address)), Some(sent_at)) = (self.ran_at.clone(), self.sent_at) else {
             return;
         };
-        let (takes_work, lived_at) = {
+        let (takes_work, last_answer_at) = {
             let board = self.node.endpoints.borrow();
             let fact = board.get(key);
-            let lived_at = fact.map(|fact| fact.health.good_at()).unwrap_or_default();
-            (fact.map(EndpointFact::takes_work), lived_at)
+            let last_answer_at = fact.map(|fact| fact.health.good_at()).unwrap_or_default();
+            (fact.map(EndpointFact::takes_work), last_answer_at)
         };
         if takes_work == Some(false) {
             return;
@@ -93,7 +93,7 @@
         };
         let at = self.node.clock.now();
         let ran = TimeSpan(sent_at.elapsed().as_millis() as u64);
-        let times = BrokenTimes { sent_at: at - ran, lived_at, at };
+        let times = AttemptTimes { sent_at: at - ran, last_answer_at, at };
         let may_look = was_cut && takes_work.is_some();
         let broken = BrokenAttempt { life, address, times, may_look };
         suspects::note_broken(self.node, self.print, broken);
--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -24,7 +24,7 @@
 use oleander_place::{
     AnswerGrade, EndpointKey, PlaceAsk, PlaceChoice, choose_endpoint, queue_limit, shed_until,
 };
-use oleander_suspect::{EndedLife, RequestContent, RequestPrint};
+use oleander_suspect::{EndpointIncarnation, RequestContent, RequestFingerprint};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -71,7 +71,7 @@
     /// What each attempt takes of its account's limit.
     pub(crate) payment: Option<Payment>,
     /// What tells that it is the same as another.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// What it paid to go to the version under the order of a roll-out; none if it goes to those that serve.
     pub(crate) trial: Option<TriedPayment>,
     /// When it must be answered.
@@ -91,7 +91,7 @@
     /// The endpoint of the last attempt.
     pub(crate) endpoint: Option<InstanceId>,
     /// Its life, and where it listens.
-    pub(crate) ran_at: Option<(EndedLife, SocketAddr)>,
+    pub(crate) ran_at: Option<(EndpointIncarnation, SocketAddr)>,
     /// What the last choice of an endpoint went by.
     pub(crate) chosen: Option<PlaceChoice>,
     /// How old the endpoint list was then.
@@ -213,9 +213,9 @@
     account: Option<&AccountRule>,
     call: &CallHead,
     request: &CallerRequest,
-) -> RequestPrint {
+) -> RequestFingerprint {
     let uri = &request.head.uri;
-    RequestPrint::of(RequestContent {
+    RequestFingerprint::of(RequestContent {
         account: account.map(|account| &account.name),
         method: request.head.method.as_str(),
         host: &call.host,
--- a/crates/front/src/mesh/digest.rs
+++ b/crates/front/src/mesh/digest.rs
@@ -46,7 +46,7 @@
     let mut mesh = node.mesh.borrow_mut();
     let collector = |card: &MemberCard| (card.id.clone(), card.life);
     if mesh.digest_from.as_ref().map(collector) != Some(collector(&digest.from)) {
-        node.suspects.borrow_mut().tell_anew();
+        node.suspects.borrow_mut().resend_all();
     }
     mesh.digest_from = Some(digest.from.clone());
     mesh.view.take(digest.from, true, now);
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -60,7 +60,7 @@
         route_evidence,
         releases: node.releases.borrow().book.followed(),
         suspects: suspects.next_told(node.clock.now()),
-        suspects_mark: suspects.shared_mark(),
+        suspects_mark: suspects.shared_hash(),
         heritage: heritage_of(&mesh, node.clock.now()),
         unreached: mesh.view.unreached(node.clock.now()),
         rules_text,
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -27,7 +27,7 @@
     ServicePressure,
 };
 use oleander_plat::FeedStore;
-use oleander_suspect::{EndWatch, SuspectBook};
+use oleander_suspect::{CrashMonitor, SuspectTracker};
 use oleander_wire::{PeerHub, TrafficCount};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -106,13 +106,13 @@
     /// What this process sees of endpoints, until the collector has it.
     pub evidence: RefCell<EvidenceOutbox>,
     /// Attempts of this process that broke, until their endpoints are known to have ended.
-    pub ends: RefCell<EndWatch>,
+    pub ends: RefCell<CrashMonitor>,
     /// What endpoints said of themselves that the collector may not know.
     pub words: RefCell<WordOutbox>,
     /// When this process last asked a collector that hands out rates of limited endpoints, by the clock of leases.
     pub rates_at: Cell<ClockTime>,
     /// Requests under which endpoints ended.
-    pub suspects: RefCell<SuspectBook>,
+    pub suspects: RefCell<SuspectTracker>,
     /// What is known through the other processes.
     pub mesh: RefCell<MeshState>,
     /// Revisions of the usage reports in the store, by their places.
--- a/crates/front/src/suspect_store.rs
+++ b/crates/front/src/suspect_store.rs
@@ -13,7 +13,9 @@
 use compact_str::CompactString;
 use oleander_kind::{ClockTime, TimeSpan};
 use oleander_plat::{FeedKind, FeedObject};
-use oleander_suspect::{ENDS_KEPT, EndNote, EndedLife, RequestPrint, SuspectNote};
+use oleander_suspect::{
+    CRASH_RETENTION, CrashUpdate, EndpointIncarnation, RequestFingerprint, SuspectUpdate,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -38,7 +40,7 @@
 /// An end of an endpoint.
 #[derive(Debug, Serialize, Deserialize)]
 struct ListedEnd {
-    life: EndedLife,
+    life: EndpointIncarnation,
     /// In true time, in Unix milliseconds.
     at: ClockTime,
     /// How long the request had run there, in milliseconds.
@@ -46,7 +48,7 @@
 }
 
 /// Which endpoints ended under which requests.
-type ListedEnds = BTreeSet<(RequestPrint, EndedLife)>;
+type ListedEnds = BTreeSet<(RequestFingerprint, EndpointIncarnation)>;
 
 /// Keeps the requests in the store while this process collects.
 pub struct SuspectStore;
@@ -80,22 +82,23 @@
     });
     let notes = notes_of(&list, node.true_now());
     suspects::take_notes(node, &notes);
-    let ends = |note: &SuspectNote| -> ListedEnds {
+    let ends = |note: &SuspectUpdate| -> ListedEnds {
         note.ends.iter().map(|end| (note.print, end.life.clone())).collect()
     };
     notes.iter().flat_map(ends).collect()
 }
 
-fn notes_of(list: &SuspectList, true_now: ClockTime) -> Vec<SuspectNote> {
+fn notes_of(list: &SuspectList, true_now: ClockTime) -> Vec<SuspectUpdate> {
     let note = |request: &ListedRequest| {
-        let print = RequestPrint::parse(&request.print)?;
-        let end = |end: &ListedEnd| EndNote {
+        let print = RequestFingerprint::parse(&request.print)?;
+        let end = |end: &ListedEnd| CrashUpdate {
             life: end.life.clone(),
             age: true_now - end.at,
             ran: end.ran,
         };
-        let ends: Vec<_> = request.ends.iter().map(end).filter(|end| end.age < ENDS_KEPT).collect();
-        (!ends.is_empty()).then_some(SuspectNote { print, ends, answered: None })
+        let ends: Vec<_> =
+            request.ends.iter().map(end).filter(|end| end.age < CRASH_RETENTION).collect();
+        (!ends.is_empty()).then_some(SuspectUpdate { print, ends, answered: None })
     };
     list.requests.iter().filter_map(note).collect()
 }
@@ -104,17 +107,17 @@
     let (now, true_now) = (node.clock.now(), node.true_now());
     let notes = node.suspects.borrow().shared(now);
     let under = || notes.iter().filter(|note| !note.ends.is_empty());
-    let request = |note: &SuspectNote| ListedRequest {
+    let request = |note: &SuspectUpdate| ListedRequest {
         print: note.print.to_string().into(),
         ends: note.ends.iter().map(|end| listed_end(end, true_now)).collect(),
     };
-    let ends = |note: &SuspectNote| -> ListedEnds {
+    let ends = |note: &SuspectUpdate| -> ListedEnds {
         note.ends.iter().map(|end| (note.print, end.life.clone())).collect()
     };
     let list = SuspectList { requests: under().map(request).collect() };
     (list, under().flat_map(ends).collect())
 }
 
-fn listed_end(end: &EndNote, true_now: ClockTime) -> ListedEnd {
+fn listed_end(end: &CrashUpdate, true_now: ClockTime) -> ListedEnd {
     ListedEnd { life: end.life.clone(), at: true_now - end.age, ran: end.ran }
 }
--- a/crates/front/src/suspects.rs
+++ b/crates/front/src/suspects.rs
@@ -7,8 +7,8 @@
 use oleander_outlet::{IdleLink, LinkError, SocketBounds};
 use oleander_place::EndpointEntry;
 use oleander_suspect::{
-    BrokenMark, BrokenTimes, EndedLife, RequestEnd, RequestPrint, SuspectChange, SuspectNote,
-    SuspectRecord,
+    AttemptTimes, CrashAttribution, EndpointCrash, EndpointIncarnation, RequestFingerprint,
+    SuspectChange, SuspectRecord, SuspectUpdate,
 };
 use std::io;
 use std::net::SocketAddr;
@@ -19,26 +19,26 @@
 const LOOK_TIME: Duration = Duration::from_millis(30);
 
 /// The life of an endpoint as its entry says.
-pub fn life_of(entry: &EndpointEntry) -> EndedLife {
-    EndedLife { instance: entry.instance.clone(), life: entry.life }
+pub fn life_of(entry: &EndpointEntry) -> EndpointIncarnation {
+    EndpointIncarnation { instance: entry.instance.clone(), life: entry.life }
 }
 
 /// For how much longer a request is held back; none if it is not.
-pub fn held_for(node: &FrontNode, print: &RequestPrint) -> Option<TimeSpan> {
+pub fn held_for(node: &FrontNode, print: &RequestFingerprint) -> Option<TimeSpan> {
     node.suspects.borrow().held_for(print, node.clock.now())
 }
 
 /// Takes what another process tells.
-pub fn take_notes(node: &FrontNode, notes: &[SuspectNote]) {
+pub fn take_notes(node: &FrontNode, notes: &[SuspectUpdate]) {
     if notes.is_empty() {
         return;
     }
-    node.suspects.borrow_mut().take(notes, node.clock.now());
+    node.suspects.borrow_mut().merge(notes, node.clock.now());
     settle(node);
 }
 
 /// Notes that a request was answered: an endpoint bore it.
-pub fn note_answer(node: &FrontNode, print: RequestPrint) {
+pub fn note_answer(node: &FrontNode, print: RequestFingerprint) {
     let was_held = held_for(node, &print).is_some();
     node.suspects.borrow_mut().note_answer(print, node.clock.now());
     if was_held {
@@ -49,11 +49,11 @@
 /// An attempt that broke.
 pub struct BrokenAttempt {
     /// The life of the endpoint that it was sent to.
-    pub life: EndedLife,
+    pub life: EndpointIncarnation,
     /// Where that listens.
     pub address: SocketAddr,
     /// When what happened to it.
-    pub times: BrokenTimes,
+    pub times: AttemptTimes,
     /// Whether a connection to the endpoint may tell more: this one was cut, and the endpoint is on the list.
     pub may_look: bool,
 }
@@ -62,25 +62,25 @@
 ///
 /// Whether the endpoint ended, its list tells after some two seconds, in which the request comes again up to four
 /// times. A connection that it refuses tells at once; one that it accepts serves the next request.
-pub fn note_broken(node: &Rc<FrontNode>, print: RequestPrint, broken: BrokenAttempt) {
+pub fn note_broken(node: &Rc<FrontNode>, print: RequestFingerprint, broken: BrokenAttempt) {
     let BrokenAttempt { life, address, times, may_look } = broken;
     let now = times.at;
     let mark = node.ends.borrow_mut().note_broken(print, &life, times);
     match mark {
-        BrokenMark::Ended => {
+        CrashAttribution::Confirmed => {
             node.suspects
                 .borrow_mut()
-                .note_end(print, RequestEnd { life, at: now, ran: now - times.sent_at });
+                .record_crash(print, EndpointCrash { life, at: now, ran: now - times.sent_at });
             settle(node);
         }
-        BrokenMark::Open if may_look && node.ends.borrow_mut().begin_look(&life, now) => {
+        CrashAttribution::Pending if may_look && node.ends.borrow_mut().start_probe(&life, now) => {
             actix_rt::spawn(look_for_end(node.clone(), life, address));
         }
-        BrokenMark::Open | BrokenMark::Late => {}
+        CrashAttribution::Pending | CrashAttribution::Unrelated => {}
     }
 }
 
-async fn look_for_end(node: Rc<FrontNode>, life: EndedLife, address: SocketAddr) {
+async fn look_for_end(node: Rc<FrontNode>, life: EndpointIncarnation, address: SocketAddr) {
     let link = match IdleLink::open(address, CONNECT_LIMIT, SocketBounds::default()).await {
         Ok(link) => link,
         Err(fault) if is_closed(&fault) => return note_ended(&node, &life, "port closed"),
@@ -104,7 +104,7 @@
 }
 
 /// Notes that a life of an endpoint ended which had not said that it leaves; `by` says how it showed.
-pub fn note_ended(node: &FrontNode, life: &EndedLife, by: &'static str) {
+pub fn note_ended(node: &FrontNode, life: &EndpointIncarnation, by: &'static str) {
     let now = node.clock.now();
     let under = node.ends.borrow_mut().note_ended(life, now);
     if under.is_empty() {
@@ -113,7 +113,7 @@
     event!(node, EndpointEnded;
         "endpoint" => life.instance.as_str(), "by" => by, "under" => under.len());
     for (print, end) in under {
-        node.suspects.borrow_mut().note_end(print, end);
+        node.suspects.borrow_mut().record_crash(print, end);
     }
     settle(node);
 }
@@ -128,7 +128,7 @@
     let suspects = node.suspects.borrow();
     let now = node.clock.now();
     match change {
-        SuspectChange::Held(print) => {
+        SuspectChange::Quarantined(print) => {
             let ends = suspects.record(&print).map_or(&[][..], SuspectRecord::ends);
             let endpoints: Vec<_> = ends.iter().map(|end| end.life.instance.as_str()).collect();
             event!(node, RequestHeld;
@@ -140,7 +140,7 @@
             let ends = suspects.record(&print).map_or(0, |record| record.ends().len());
             event!(node, RequestReleased; "print" => print.to_string(), "ends" => ends);
         }
-        SuspectChange::Forgotten(print) => {
+        SuspectChange::Evicted(print) => {
             event!(node, SuspectForgotten; "print" => print.to_string());
         }
     }
--- a/crates/front/src/trace.rs
+++ b/crates/front/src/trace.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use oleander_kind::{InstanceId, ResultCode, TimeSpan};
 use oleander_place::PlaceChoice;
-use oleander_suspect::RequestPrint;
+use oleander_suspect::RequestFingerprint;
 use std::rc::Rc;
 use tokio::time::Instant;
 
@@ -18,7 +18,7 @@
     /// Its id.
     pub(crate) request: CompactString,
     /// What tells that it is the same as another; none if it was refused before.
-    pub(crate) print: Option<RequestPrint>,
+    pub(crate) print: Option<RequestFingerprint>,
     /// The service it goes to.
     pub(crate) service: CompactString,
     /// The version of the rules that it was judged by.
--- a/crates/front/src/words.rs
+++ b/crates/front/src/words.rs
@@ -15,7 +15,7 @@
 use oleander_kind::{ClockTime, RequestRate, ResultCode};
 use oleander_limit::own_part;
 use oleander_place::{EndpointFact, EndpointKey, LimitWord};
-use oleander_suspect::EndedLife;
+use oleander_suspect::EndpointIncarnation;
 
 /// From whom a word was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,7 +73,7 @@
 }
 
 /// Notes that an endpoint leaves; says whether that is news.
-fn note_leaving(node: &FrontNode, life: &EndedLife, source: WordSource) -> bool {
+fn note_leaving(node: &FrontNode, life: &EndpointIncarnation, source: WordSource) -> bool {
     let mut board = node.endpoints.borrow_mut();
     if !board.note_leaving(&life.instance, life.life) {
         return false;
--- a/crates/front/src/words/tell.rs
+++ b/crates/front/src/words/tell.rs
@@ -9,7 +9,7 @@
 use oleander_kind::{ClockTime, TimeSpan};
 use oleander_mesh::EndpointWords;
 use oleander_place::{EndpointFact, LimitWord};
-use oleander_suspect::EndedLife;
+use oleander_suspect::EndpointIncarnation;
 use std::collections::HashMap;
 
 /// What this process knows that endpoints said of themselves.
@@ -40,7 +40,7 @@
     let now = node.clock.now();
     for words in told {
         if words.leaves {
-            let life = EndedLife { instance: words.instance.clone(), life: words.life };
+            let life = EndpointIncarnation { instance: words.instance.clone(), life: words.life };
             note_leaving(node, &life, WordSource::Told);
         }
         let key = {
--- a/crates/mesh/src/collector.rs
+++ b/crates/mesh/src/collector.rs
@@ -16,7 +16,7 @@
 use oleander_pace::{ReadPace, join_paces};
 use oleander_plat::FeedObject;
 use oleander_release::ReleaseNews;
-use oleander_suspect::SuspectBook;
+use oleander_suspect::SuspectTracker;
 use std::collections::BTreeMap;
 
 /// Between two lists of the members to one process, for each member on it.
@@ -45,7 +45,7 @@
     /// How fast engines read, as it was told before it collected.
     pub paces: Vec<ServicePace>,
     /// Requests under which endpoints ended.
-    pub suspects: &'a SuspectBook,
+    pub suspects: &'a SuspectTracker,
     /// The lease as last seen.
     pub lease: Option<LeaseNotice>,
     /// The roll-outs under way.
@@ -220,7 +220,7 @@
             peaks: facts.peaks.clone(),
             paces: self.paces(&facts.paces, now),
             verdicts: self.judge.verdicts(),
-            suspects: (report.suspects_mark != facts.suspects.shared_mark())
+            suspects: (report.suspects_mark != facts.suspects.shared_hash())
                 .then(|| facts.suspects.shared(now)),
             words: None,
             rates: None,
--- a/crates/mesh/src/message.rs
+++ b/crates/mesh/src/message.rs
@@ -13,7 +13,7 @@
 use oleander_pace::ReadPace;
 use oleander_plat::FeedObject;
 use oleander_release::ReleaseNews;
-use oleander_suspect::SuspectNote;
+use oleander_suspect::SuspectUpdate;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -242,7 +242,7 @@
     pub evidence: Vec<EndpointEvidence>,
     /// What it saw of requests under which endpoints ended, since its last report that was answered.
     #[serde(rename = "d", default)]
-    pub suspects: Vec<SuspectNote>,
+    pub suspects: Vec<SuspectUpdate>,
     /// What it knows of such requests of all processes, as a mark.
     #[serde(rename = "k", default)]
     pub suspects_mark: u64,
@@ -358,7 +358,7 @@
     pub verdicts: Vec<EndpointVerdict>,
     /// Requests under which endpoints ended, if the mark of the report is another.
     #[serde(rename = "k", default)]
-    pub suspects: Option<Vec<SuspectNote>>,
+    pub suspects: Option<Vec<SuspectUpdate>>,
     /// What endpoints said of themselves, if the mark of the report is another.
     #[serde(rename = "W", default, skip_serializing_if = "Option::is_none")]
     pub words: Option<Vec<EndpointWords>>,
--- a/crates/suspect/src/print.rs
+++ b/crates/suspect/src/fingerprint.rs
@@ -12,7 +12,7 @@
 /// two requests of one account that share them cannot be made on purpose.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct RequestPrint(u128);
+pub struct RequestFingerprint(u128);
 
 /// What a request asks.
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
     pub body: &'a [u8],
 }
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// The print of a request.
     pub fn of(content: RequestContent<'_>) -> Self {
         let account = content.account.map_or("", AccountName::as_str);
@@ -41,12 +41,12 @@
             content.body,
         ]);
         let bits = digest.iter().take(16).fold(0, |bits, byte| bits << 8 | u128::from(*byte));
-        RequestPrint(bits)
+        RequestFingerprint(bits)
     }
 
     /// Reads what [`Display`](fmt::Display) writes.
     pub fn parse(text: &str) -> Option<Self> {
-        u128::from_str_radix(text, 16).ok().map(RequestPrint)
+        u128::from_str_radix(text, 16).ok().map(RequestFingerprint)
     }
 
     /// A number that spreads prints evenly.
@@ -55,13 +55,13 @@
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:032x}", self.0)
     }
 }
 
-impl fmt::Debug for RequestPrint {
+impl fmt::Debug for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
--- a/crates/suspect/src/record.rs
+++ b/crates/suspect/src/record.rs
@@ -1,22 +1,22 @@
 //! What is known of one request under which endpoints ended.
 
-use crate::print::RequestPrint;
+use crate::fingerprint::RequestFingerprint;
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use serde::{Deserialize, Serialize};
 
 /// How long an end speaks against a request. Long enough for a caller that comes back after minutes; a
 /// request that a newer model version can bear is tried again after it.
-pub const ENDS_KEPT: TimeSpan = TimeSpan(600_000);
+pub const CRASH_RETENTION: TimeSpan = TimeSpan(600_000);
 /// A request that was answered is not to blame for ends up to this much later: a key that many ask for runs
 /// at several endpoints at once, and all of them may lose their power together.
-pub const ANSWER_COVERS: TimeSpan = TimeSpan(30_000);
+pub const EXONERATION_WINDOW: TimeSpan = TimeSpan(30_000);
 /// Ends within this time of one another are one moment, if the request was at both endpoints then: the loss of a
 /// failure domain, or copies of a request that were under way together.
-const MOMENT: TimeSpan = TimeSpan(100);
+const EVENT_WINDOW: TimeSpan = TimeSpan(100);
 
 /// A life of an endpoint that ended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct EndedLife {
+pub struct EndpointIncarnation {
     /// The instance.
     #[serde(rename = "i")]
     pub instance: InstanceId,
@@ -27,18 +27,18 @@
 
 /// An end of an endpoint that ran a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RequestEnd {
+pub struct EndpointCrash {
     /// Whose end.
-    pub life: EndedLife,
+    pub life: EndpointIncarnation,
     /// When the request's connection broke.
     pub at: ClockTime,
     /// How long before that it was sent there.
     pub ran: TimeSpan,
 }
 
-impl RequestEnd {
+impl EndpointCrash {
     /// Whether the request was sent after `other`, so that both are not one moment.
-    fn follows(&self, other: &RequestEnd) -> bool {
+    fn is_after(&self, other: &EndpointCrash) -> bool {
         self.at - self.ran >= other.at
     }
 }
@@ -46,15 +46,15 @@
 /// What all processes saw of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectRecord {
-    ends: Vec<RequestEnd>,
+    ends: Vec<EndpointCrash>,
     answered_at: Option<ClockTime>,
 }
 
 impl SuspectRecord {
     /// Notes an end; says whether it is news.
-    pub fn note_end(&mut self, end: RequestEnd) -> bool {
+    pub fn record_crash(&mut self, end: EndpointCrash) -> bool {
         let known = self.ends.iter().any(|known| known.life == end.life);
-        if known || self.is_covered(&end) {
+        if known || self.is_exonerated(&end) {
             return false;
         }
         self.ends.push(end);
@@ -69,16 +69,16 @@
         }
         self.answered_at = Some(at);
         let answered = SuspectRecord { ends: Vec::new(), answered_at: self.answered_at };
-        self.ends.retain(|end| !answered.is_covered(end));
+        self.ends.retain(|end| !answered.is_exonerated(end));
         true
     }
 
-    fn is_covered(&self, end: &RequestEnd) -> bool {
-        self.answered_at.is_some_and(|at| end.at <= at + ANSWER_COVERS)
+    fn is_exonerated(&self, end: &EndpointCrash) -> bool {
+        self.answered_at.is_some_and(|at| end.at <= at + EXONERATION_WINDOW)
     }
 
     /// The ends, the oldest first.
-    pub fn ends(&self) -> &[RequestEnd] {
+    pub fn ends(&self) -> &[EndpointCrash] {
         &self.ends
     }
 
@@ -94,34 +94,34 @@
     }
 
     /// Forgets what is too old; says whether anything is left.
-    pub fn sweep(&mut self, now: ClockTime) -> bool {
-        self.ends.retain(|end| now - end.at < ENDS_KEPT);
+    pub fn expire(&mut self, now: ClockTime) -> bool {
+        self.ends.retain(|end| now - end.at < CRASH_RETENTION);
         // Kept for longer than it covers, so that it reaches processes that were cut off meanwhile.
-        let stale = |at: ClockTime| now - at > TimeSpan(2 * ANSWER_COVERS.0);
+        let stale = |at: ClockTime| now - at > TimeSpan(2 * EXONERATION_WINDOW.0);
         self.answered_at = self.answered_at.filter(|at| !stale(*at));
         !self.ends.is_empty() || self.answered_at.is_some()
     }
 }
 
-/// How many moments `ends` are, which are in the order of their times.
-pub fn count_moments<'a>(ends: impl IntoIterator<Item = &'a RequestEnd>) -> usize {
-    let mut moments = 0;
-    let mut first: Option<&RequestEnd> = None;
+/// How many events `ends` are, which are in the order of their times.
+pub fn count_events<'a>(ends: impl IntoIterator<Item = &'a EndpointCrash>) -> usize {
+    let mut events = 0;
+    let mut first: Option<&EndpointCrash> = None;
     for end in ends {
-        if first.is_none_or(|first| end.at - first.at > MOMENT || end.follows(first)) {
-            moments += 1;
+        if first.is_none_or(|first| end.at - first.at > EVENT_WINDOW || end.is_after(first)) {
+            events += 1;
             first = Some(end);
         }
     }
-    moments
+    events
 }
 
 /// An end as one process tells another of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndNote {
+pub struct CrashUpdate {
     /// Whose end.
     #[serde(rename = "l")]
-    pub life: EndedLife,
+    pub life: EndpointIncarnation,
     /// How long ago it was.
     #[serde(rename = "g")]
     pub age: TimeSpan,
@@ -132,25 +132,28 @@
 
 /// What one process tells another of a request. Ages, as the processes' clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNote {
+pub struct SuspectUpdate {
     /// The request.
     #[serde(rename = "p")]
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Lives that ended under it.
     #[serde(rename = "e")]
-    pub ends: Vec<EndNote>,
+    pub ends: Vec<CrashUpdate>,
     /// How long ago it was answered.
     #[serde(rename = "a")]
     pub answered: Option<TimeSpan>,
 }
 
-impl SuspectNote {
+impl SuspectUpdate {
     /// What `record` says at `now`.
-    pub fn of(print: RequestPrint, record: &SuspectRecord, now: ClockTime) -> Self {
-        let end =
-            |end: &RequestEnd| EndNote { life: end.life.clone(), age: now - end.at, ran: end.ran };
-        SuspectNote {
-            print,
+    pub fn of(fingerprint: RequestFingerprint, record: &SuspectRecord, now: ClockTime) -> Self {
+        let end = |end: &EndpointCrash| CrashUpdate {
+            life: end.life.clone(),
+            age: now - end.at,
+            ran: end.ran,
+        };
+        SuspectUpdate {
+            print: fingerprint,
             ends: record.ends.iter().map(end).collect(),
             answered: record.answered_at.map(|at| now - at),
         }
--- a/tests/all/ending.rs
+++ b/tests/all/ending.rs
@@ -1,7 +1,7 @@
 //! Requests that end each endpoint which runs them, and come again at any process, in virtual time.
 
 use crate::front::{Came, ask, request, try_ask};
-use crate::mortal::{FATAL, MortalFleet};
+use crate::mortal::{CrashingFleet, FATAL};
 use crate::plays::{PlayGroup, play};
 use futures_util::future::join_all;
 use oleandertack::kind::ResultCode;
@@ -27,7 +27,7 @@
 /// Processes before endpoints, with honest callers at work.
 struct EndingPlay {
     group: PlayGroup,
-    fleet: Rc<MortalFleet>,
+    fleet: Rc<CrashingFleet>,
     callers: Rc<HonestCallers>,
 }
 
@@ -69,7 +69,7 @@
     async fn start() -> Self {
         let group = PlayGroup::start(PROCESSES).await;
         group.remove_first_endpoints();
-        let fleet = MortalFleet::start(group.registry(), ENDPOINTS).await;
+        let fleet = CrashingFleet::start(group.registry(), ENDPOINTS).await;
         group.until_listed(ENDPOINTS).await;
         let play = EndingPlay { group, fleet, callers: Rc::default() };
         play.note_addresses();
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -13,7 +13,7 @@
 use oleandertack::pace::ReadPace;
 use oleandertack::plat::FeedEvent;
 use oleandertack::release::ReleaseNews;
-use oleandertack::suspect::SuspectBook;
+use oleandertack::suspect::SuspectTracker;
 use oleandertack::wire::encode_frame;
 
 pub const NOW: ClockTime = ClockTime(1_000_000);
@@ -233,7 +233,7 @@
 
 impl CollectorRig {
     pub fn take(&mut self, report: NodeReport, now: ClockTime) -> MeshDigest {
-        let suspects = SuspectBook::default();
+        let suspects = SuspectTracker::default();
         let facts = CollectorFacts {
             suspects: &suspects,
             rules: Some(&self.rules),
--- a/tests/all/mortal.rs
+++ b/tests/all/mortal.rs
@@ -31,7 +31,7 @@
 }
 
 /// Endpoints of one service.
-pub struct MortalFleet {
+pub struct CrashingFleet {
     registry: EndpointRegistry,
     begun: Cell<u32>,
     living: RefCell<Vec<Rc<Life>>>,
@@ -42,15 +42,15 @@
 
 struct Life {
     name: String,
-    fleet: Rc<MortalFleet>,
+    fleet: Rc<CrashingFleet>,
     tasks: RefCell<Vec<JoinHandle<()>>>,
     running: RefCell<Vec<String>>,
 }
 
-impl MortalFleet {
+impl CrashingFleet {
     /// Starts `count` endpoints.
     pub async fn start(registry: EndpointRegistry, count: usize) -> Rc<Self> {
-        let fleet = Rc::new(MortalFleet {
+        let fleet = Rc::new(CrashingFleet {
             registry,
             begun: Cell::new(0),
             living: RefCell::default(),
