--- a/crates/suspect/src/attribution.rs
+++ b/crates/suspect/src/attribution.rs
@@ -1,4 +1,4 @@
-//! Which requests the crashes of endpoints are charged to.
+//! Attributes endpoint crashes to the requests that most likely caused them.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::record::{EndpointCrash, EndpointIncarnation, SuspectRecord, count_events};
@@ -6,28 +6,30 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Moments at which an endpoint has to crash under a request before it is to blame: the users count from the
+/// Crash events after which a request is considered the cause: the users' bound counts from the
 /// third crash on.
 pub const MIN_CRASH_EVENTS: usize = 3;
-/// From so many event_count on a request may be what ended an endpoint under another one too. Nearly all that ran
-/// beside a request at fault have one.
+/// Crash events from which on a request is a plausible cause of crashes that another request also
+/// shares. Nearly all requests that merely ran beside a culprit have one.
 const PLAUSIBLE_EVENTS: usize = 2;
-/// Moments that a request must have for itself, none beside it that has as many or one less. Without this and
-/// [`REPORT_DELAY`], 8 of 224,377 honest requests were refused in 400 plays of two requests that crash three endpoints a
-/// second of nine; with both, none (`suspect::no_honest_request_is_held_back_beside_requests_that_end_endpoints`).
+/// Crash events that a culprit must not share with any other request that has as many events or one
+/// fewer. Without this and [`REPORT_DELAY`], 8 of 224,377 honest requests were refused in 400
+/// simulations of two requests that crash three endpoints a second of nine; with both, none
+/// (`suspect::no_honest_request_is_quarantined_beside_culprits`).
 const MIN_EXCLUSIVE_EVENTS: usize = 1;
-/// Requests that were always together cannot be told apart: one is innocent, and each further crash most likely
-/// parts them. From so many event_count on they are held back together; a request may reach endpoints three
-/// times after its third crash.
+/// Requests that always ran together cannot be told apart: one of them is innocent, and each
+/// further crash most likely separates them. From this many events on all of them are quarantined;
+/// a request may reach endpoints three times after its third crash.
 pub const MAX_TIED_EVENTS: usize = 5;
-/// An crash counts once others that saw it have told what they ran there: a process that sent one stream to three
-/// endpoints knows all crashes of that stream at once, and of the request at fault, which came to other processes, it
-/// hears by their report, which takes 250 ms at most.
+/// A crash counts only after the other processes that saw it have had time to report what they ran
+/// there. A process that sent one stream to three endpoints knows all crashes of that stream at
+/// once, but learns of the culprit, which arrived at other processes, only by their reports, which
+/// take at most 250 ms.
 const REPORT_DELAY: TimeSpan = TimeSpan(300);
 
 struct Candidate<'a> {
     fingerprint: RequestFingerprint,
-    /// Ends that no request found to blame explains.
+    /// Crashes that no culprit found so far explains.
     crashes: Vec<&'a EndpointCrash>,
 }
 
@@ -40,21 +42,21 @@
         self.crashes.iter().map(|crash| &crash.life)
     }
 
-    /// How many event_count are left without those of `incarnations`.
+    /// Crash events that remain without those of `incarnations`.
     fn event_count_without(&self, incarnations: &BTreeSet<&EndpointIncarnation>) -> usize {
         let left = self.crashes.iter().copied().filter(|crash| !incarnations.contains(&crash.life));
         count_events(left)
     }
 
-    /// Whether `other` has as many crashes, and this one would explain too many of them for it to be to blame as
-    /// well: only one of the two is.
+    /// Whether `other` has at least as many events and shares so many of them with this candidate
+    /// that only one of the two can be the cause.
     fn is_ambiguous_with(&self, other: &Candidate<'_>) -> bool {
         let incarnations = self.incarnations().collect();
         other.event_count() >= self.event_count()
             && other.event_count_without(&incarnations) < MIN_CRASH_EVENTS
     }
 
-    /// Whether it is to blame, and none of `others` in its place.
+    /// Whether this candidate is the cause and none of `others` could be instead.
     fn is_certain<'b>(&self, others: impl Iterator<Item = &'b Candidate<'b>> + Clone) -> bool {
         if self.event_count() >= MAX_TIED_EVENTS {
             return true;
@@ -67,10 +69,11 @@
     }
 }
 
-/// The requests to blame, by what is known of all.
+/// Returns the requests that most likely caused the recorded crashes.
 ///
-/// The one under which most crashes came is taken first, and what it explains counts against nobody else. Judged
-/// anew from everything whenever something is seen, so that a verdict that more crashes contradict does not stand.
+/// A greedy cover: the request with the most crash events is taken first, and the crashes that it
+/// explains no longer count against any other. The result is computed from all records each time,
+/// so a verdict that later crashes contradict is withdrawn.
 pub fn find_culprits(
     records: &BTreeMap<RequestFingerprint, SuspectRecord>,
     now: ClockTime,
--- a/crates/suspect/src/fingerprint.rs
+++ b/crates/suspect/src/fingerprint.rs
@@ -1,36 +1,36 @@
-//! What tells that two attempts of callers are the same request.
+//! Request fingerprints, which identify a request across its callers' retries.
 
 use oleander_kind::AccountName;
 use oleander_kind::hash::digest_parts;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A digest of what a request asks: the same for each attempt of its caller, at any process.
+/// A digest of a request's content: equal for each retry by its caller, at any process.
 ///
-/// The account is part of it, so that nobody can have another account's request refused. The id, the time
-/// left and the last event seen are not, since they differ from one attempt to the next. 128 bits of SHA-256:
-/// two requests of one account that share them cannot be made on purpose.
+/// The account is included, so that nobody can have another account's request refused. The id, the
+/// deadline and the last event received are excluded, since they differ between retries. 128 bits
+/// of SHA-256: nobody can construct two requests of one account with equal fingerprints.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestFingerprint(u128);
 
-/// What a request asks.
+/// The content of a request that identifies it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// Whose it is; none on public routes.
+    /// The client account; `None` on public routes.
     pub account: Option<&'a AccountName>,
     /// The method.
     pub method: &'a str,
-    /// The host asked for.
+    /// The requested host.
     pub host: &'a str,
-    /// The path with its query.
+    /// The path including the query.
     pub path: &'a str,
     /// The body.
     pub body: &'a [u8],
 }
 
 impl RequestFingerprint {
-    /// The print of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(content: RequestContent<'_>) -> Self {
         let account = content.account.map_or("", AccountName::as_str);
         let digest = digest_parts(&[
@@ -44,12 +44,12 @@
         RequestFingerprint(bits)
     }
 
-    /// Reads what [`Display`](fmt::Display) writes.
+    /// Parses the output of [`Display`](fmt::Display).
     pub fn parse(text: &str) -> Option<Self> {
         u128::from_str_radix(text, 16).ok().map(RequestFingerprint)
     }
 
-    /// A number that spreads prints evenly.
+    /// The low 64 bits, which are evenly distributed.
     pub fn spread(self) -> u64 {
         self.0 as u64
     }
--- a/crates/suspect/src/lib.rs
+++ b/crates/suspect/src/lib.rs
@@ -1,15 +1,17 @@
-//! Requests under which endpoints end.
+//! Detection and quarantine of requests that crash the endpoints that run them.
 //!
-//! A request may end each endpoint that runs it. Its caller gets no answer and sends it again, under another
-//! id and at any process, and whatever runs beside it breaks with it. Nothing that is known of endpoints
-//! or of one attempt tells that it is the same request; its content does ([`RequestFingerprint`]).
+//! Such a request may crash every endpoint it reaches. Its caller gets no answer and sends it
+//! again, with another id and to any process, and whatever runs beside it fails with it. Neither
+//! the state of the endpoints nor a single attempt shows that it is the same request; its content
+//! does ([`RequestFingerprint`]).
 //!
-//! A process notes attempts that broke, and counts them once their endpoint is known to have ended
-//! ([`CrashMonitor`]): connections break for many reasons. What was counted is joined over all processes
-//! ([`SuspectTracker`]). Requests that break beside the one at fault look like it at first, so the ends are
-//! charged to as few requests as explain them ([`find_culprits`]). What is to blame is held back at all processes for a while.
+//! A process records attempts whose connection broke, and counts them once their endpoint is known
+//! to have crashed ([`CrashMonitor`]), since connections break for many reasons. The counted
+//! crashes of all processes are merged ([`SuspectTracker`]). Requests that ran beside the culprit
+//! look guilty at first, so the crashes are attributed to as few requests as explain them
+//! ([`find_culprits`]). The culprits are quarantined at all processes for a while.
 //!
-//! All of it is a pure function of what was seen and the time.
+//! Everything here is a pure function of the observations and the time.
 
 mod attribution;
 mod fingerprint;
--- a/crates/suspect/src/monitor.rs
+++ b/crates/suspect/src/monitor.rs
@@ -1,17 +1,17 @@
-//! Attempts that broke, until it is known whether their endpoints ended.
+//! Matches broken attempts with endpoint crashes.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::record::{EndpointCrash, EndpointIncarnation};
 use oleander_kind::{ClockTime, TimeSpan};
 use std::collections::VecDeque;
 
-/// How long an attempt that broke and the news that its endpoint ended may lie apart: an entry lapses after
-/// three heartbeats of 1.2 s.
+/// Maximum time between a broken attempt and the news that its endpoint crashed: a registry entry
+/// expires after three heartbeats of 1.2 s.
 const MATCH_WINDOW: TimeSpan = TimeSpan(4000);
-/// Between two is_due at one endpoint: each costs it a connection, and all that broke with it in one moment
-/// need one look.
+/// Minimum interval between two probes of one endpoint: each costs it a connection, and one probe
+/// covers all attempts that broke at the same moment.
 const PROBE_INTERVAL: TimeSpan = TimeSpan(500);
-/// Attempts and ends that are remembered: what all endpoints of a large service run at once.
+/// Maximum number of attempts and crashes kept: what all endpoints of a large service run at once.
 const MAX_ENTRIES: usize = 1024;
 
 #[derive(Clone, Debug)]
@@ -20,34 +20,35 @@
     end: EndpointCrash,
 }
 
-/// When what happened to an attempt that broke.
+/// Timestamps of an attempt whose connection broke.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: ClockTime,
-    /// When its endpoint last gave a whole answer here: what broke there before was not its end.
+    /// When this process last got a complete answer of the endpoint: breaks before that were not
+    /// crashes.
     pub last_answer_at: ClockTime,
-    /// When it broke.
+    /// When the connection broke.
     pub at: ClockTime,
 }
 
-/// What an attempt that broke says of its request.
+/// What a broken attempt implies about its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashAttribution {
-    /// Its endpoint is known to have ended: the request ran there.
+    /// The endpoint is known to have crashed while it ran the request.
     Confirmed,
-    /// Nothing until the endpoint is known to have ended.
+    /// Nothing, unless the endpoint turns out to have crashed.
     Pending,
-    /// Nothing: something had broken there before it was sent. Requests that are sent to an endpoint that has
-    /// ended break as well, and none of them ended it.
+    /// Nothing: another attempt broke there before this request was sent. Requests sent to an
+    /// endpoint that has already crashed fail as well, and none of them caused the crash.
     Unrelated,
 }
 
-/// Attempts of this process that broke, and endpoints that ended a moment ago.
+/// Recent attempts of this process that broke, and recent endpoint crashes.
 ///
-/// Connections break for many reasons, most of them the endpoint's or the network's own. An attempt counts
-/// against its request only if the endpoint ended: its port is closed, its entry lapsed, or its next
-/// life began.
+/// Connections break for many reasons, most of them in the endpoint or the network. An attempt
+/// counts against its request only if the endpoint crashed: its port is closed, its registry entry
+/// expired, or its next incarnation started.
 #[derive(Debug, Default)]
 pub struct CrashMonitor {
     broken: VecDeque<BrokenAttempt>,
@@ -56,7 +57,7 @@
 }
 
 impl CrashMonitor {
-    /// Notes that an attempt at `life` broke.
+    /// Records a broken attempt at the incarnation `life`.
     pub fn note_broken(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -80,7 +81,7 @@
         CrashAttribution::Pending
     }
 
-    /// Notes that `life` ended; gives the requests whose attempts broke there.
+    /// Records that `life` crashed; returns the requests whose attempts broke there.
     pub fn note_ended(
         &mut self,
         life: &EndpointIncarnation,
@@ -96,7 +97,7 @@
         under.into_iter().map(|broken| (broken.fingerprint, broken.end)).collect()
     }
 
-    /// Whether somebody should look whether `life` has ended; no if somebody did a moment ago.
+    /// Whether the caller should probe `life` now; `false` if it was probed recently.
     pub fn start_probe(&mut self, life: &EndpointIncarnation, now: ClockTime) -> bool {
         self.probed.retain(|(_, at)| now - *at < PROBE_INTERVAL);
         let is_due = self.probed.iter().all(|(probed, _)| probed != life);
--- a/crates/suspect/src/record.rs
+++ b/crates/suspect/src/record.rs
@@ -1,49 +1,50 @@
-//! What is known of one request under which endpoints ended.
+//! Crashes and answers of one request, and the messages that carry them.
 
 use crate::fingerprint::RequestFingerprint;
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// How long an end speaks against a request. Long enough for a caller that comes back after minutes; a
-/// request that a newer model version can bear is tried again after it.
+/// How long a crash counts against a request. Long enough for a caller that returns after minutes;
+/// afterwards the request is tried again, as a newer model version may handle it.
 pub const CRASH_RETENTION: TimeSpan = TimeSpan(600_000);
-/// A request that was answered is not to blame for ends up to this much later: a key that many ask for runs
-/// at several endpoints at once, and all of them may lose their power together.
+/// An answered request is not held responsible for crashes up to this long after the answer: a
+/// request that many callers send runs at several endpoints at once, and all of them may lose power
+/// together.
 pub const EXONERATION_WINDOW: TimeSpan = TimeSpan(30_000);
-/// Ends within this time of one another are one moment, if the request was at both endpoints then: the loss of a
-/// failure domain, or copies of a request that were under way together.
+/// Crashes within this time of one another are one event if the request ran at both endpoints then:
+/// the loss of a failure domain, or concurrent copies of a request.
 const EVENT_WINDOW: TimeSpan = TimeSpan(100);
 
-/// A life of an endpoint that ended.
+/// One incarnation of an endpoint, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointIncarnation {
-    /// The instance.
+    /// The instance id of the endpoint.
     #[serde(rename = "i")]
     pub instance: InstanceId,
-    /// Which life of it, as its entry says.
+    /// Its incarnation number, from its registry entry.
     #[serde(rename = "l")]
     pub life: u64,
 }
 
-/// An end of an endpoint that ran a request.
+/// A crash of an endpoint while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointCrash {
-    /// Whose end.
+    /// The incarnation that crashed.
     pub life: EndpointIncarnation,
-    /// When the request's connection broke.
+    /// When the connection of the request broke.
     pub at: ClockTime,
-    /// How long before that it was sent there.
+    /// How long before that the request was sent.
     pub ran: TimeSpan,
 }
 
 impl EndpointCrash {
-    /// Whether the request was sent after `other`, so that both are not one moment.
+    /// Whether the request was sent after the crash `other`, so that the two are separate events.
     fn is_after(&self, other: &EndpointCrash) -> bool {
         self.at - self.ran >= other.at
     }
 }
 
-/// What all processes saw of one request.
+/// What all processes have seen of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectRecord {
     ends: Vec<EndpointCrash>,
@@ -51,7 +52,7 @@
 }
 
 impl SuspectRecord {
-    /// Notes an end; says whether it is news.
+    /// Adds a crash; returns whether it is new.
     pub fn record_crash(&mut self, end: EndpointCrash) -> bool {
         let known = self.ends.iter().any(|known| known.life == end.life);
         if known || self.is_exonerated(&end) {
@@ -62,7 +63,7 @@
         true
     }
 
-    /// Notes that the request was answered at `at`; says whether that is news.
+    /// Records an answer at `at`; returns whether it is newer than the last one.
     pub fn note_answer(&mut self, at: ClockTime) -> bool {
         if self.answered_at.is_some_and(|known| at <= known) {
             return false;
@@ -77,33 +78,34 @@
         self.answered_at.is_some_and(|at| end.at <= at + EXONERATION_WINDOW)
     }
 
-    /// The ends, the oldest first.
+    /// Returns the crashes, oldest first.
     pub fn ends(&self) -> &[EndpointCrash] {
         &self.ends
     }
 
-    /// When it was answered.
+    /// Returns when the request was last answered.
     pub fn answered_at(&self) -> Option<ClockTime> {
         self.answered_at
     }
 
-    /// When the last thing was seen of it.
+    /// Returns when the request last crashed an endpoint or was answered.
     pub fn seen_at(&self) -> ClockTime {
         let ended_at = self.ends.last().map(|end| end.at);
         ended_at.max(self.answered_at).unwrap_or_default()
     }
 
-    /// Forgets what is too old; says whether anything is left.
+    /// Removes expired entries; returns whether anything is left.
     pub fn expire(&mut self, now: ClockTime) -> bool {
         self.ends.retain(|end| now - end.at < CRASH_RETENTION);
-        // Kept for longer than it covers, so that it reaches processes that were cut off meanwhile.
+        // Kept for longer than it exonerates, so that it reaches processes that were partitioned
+        // meanwhile.
         let stale = |at: ClockTime| now - at > TimeSpan(2 * EXONERATION_WINDOW.0);
         self.answered_at = self.answered_at.filter(|at| !stale(*at));
         !self.ends.is_empty() || self.answered_at.is_some()
     }
 }
 
-/// How many events `ends` are, which are in the order of their times.
+/// Counts the events among `crashes`, which are sorted by time; concurrent crashes are one event.
 pub fn count_events<'a>(ends: impl IntoIterator<Item = &'a EndpointCrash>) -> usize {
     let mut events = 0;
     let mut first: Option<&EndpointCrash> = None;
@@ -116,36 +118,37 @@
     events
 }
 
-/// An end as one process tells another of it.
+/// A crash as sent between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
-    /// Whose end.
+    /// The incarnation that crashed.
     #[serde(rename = "l")]
     pub life: EndpointIncarnation,
-    /// How long ago it was.
+    /// How long ago it crashed.
     #[serde(rename = "g")]
     pub age: TimeSpan,
-    /// How long the request had run there.
+    /// How long the request had been running there.
     #[serde(rename = "r")]
     pub ran: TimeSpan,
 }
 
-/// What one process tells another of a request. Ages, as the processes' clocks differ.
+/// What one process tells another about a request. Times are sent as ages because the clocks of the
+/// processes differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectUpdate {
-    /// The request.
+    /// The fingerprint of the request.
     #[serde(rename = "p")]
     pub print: RequestFingerprint,
-    /// Lives that ended under it.
+    /// Crashes while the request ran.
     #[serde(rename = "e")]
     pub ends: Vec<CrashUpdate>,
-    /// How long ago it was answered.
+    /// How long ago the request was last answered.
     #[serde(rename = "a")]
     pub answered: Option<TimeSpan>,
 }
 
 impl SuspectUpdate {
-    /// What `record` says at `now`.
+    /// Creates the update for `record` at time `now`.
     pub fn of(fingerprint: RequestFingerprint, record: &SuspectRecord, now: ClockTime) -> Self {
         let end = |end: &EndpointCrash| CrashUpdate {
             life: end.life.clone(),
--- a/crates/suspect/src/tracker.rs
+++ b/crates/suspect/src/tracker.rs
@@ -1,4 +1,4 @@
-//! What one process knows of requests under which endpoints ended.
+//! The state that one process keeps about requests during which endpoints crashed.
 
 use crate::attribution::find_culprits;
 use crate::fingerprint::RequestFingerprint;
@@ -10,32 +10,36 @@
 use oleander_kind::{ClockTime, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Requests that are remembered; those with the fewest ends are forgotten first, some 300 KB in all. The
-/// loss of all endpoints of a large service leaves some 750.
+/// Maximum number of records, about 300 KB in all; those with the fewest crashes are evicted first.
+/// The loss of all endpoints of a large service leaves about 750.
 const MAX_RECORDS: usize = 2048;
-/// What all processes saw until then is known everywhere after this time: two reports and two digests.
+/// Time after which every process knows what all processes had seen: two reports and two digests.
 const VERDICT_SETTLE_TIME: TimeSpan = TimeSpan(1000);
-/// Requests told to all, those with the most ends: some 4 KB if all of them are named.
+/// Maximum number of requests shared with all processes, those with the most crashes: about 4 KB if
+/// all of them are listed.
 const MAX_SHARED: usize = 64;
-/// Requests told to the collector at once; the rest follows with the next report.
+/// Maximum number of requests in one report to the collector; the rest follows in the next report.
 const MAX_PER_REPORT: usize = 64;
-/// Ends from which on all processes are told: a request that broke with one endpoint is most likely innocent.
+/// Crashes from which on a request is shared with all processes: a request whose connection broke
+/// with a single endpoint is most likely innocent.
 const MIN_SHARED_CRASHES: usize = 2;
-/// Answered requests that are remembered, twice: what a process answers in half a minute under heavy load.
+/// Maximum number of answered requests in each generation of the cache: what a process answers in
+/// half a minute under heavy load.
 const MAX_ANSWERED: usize = 4096;
 
-/// What changed for a request.
+/// A change of what is known about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SuspectChange {
-    /// It is held back from now on.
+    /// The request is quarantined from now on.
     Quarantined(RequestFingerprint),
-    /// It is held back no more: it was answered, or others explain its ends.
+    /// The request is no longer quarantined: it was answered, or other requests explain its
+    /// crashes.
     Released(RequestFingerprint),
-    /// It was forgotten to bound the memory.
+    /// The record was evicted to bound the memory.
     Evicted(RequestFingerprint),
 }
 
-/// Requests that were answered a while ago. Two generations, so that forgetting takes no search.
+/// Requests that were answered recently. Two generations, so that expiry needs no scan.
 #[derive(Debug, Default)]
 struct AnswerCache {
     recent: HashMap<RequestFingerprint, ClockTime>,
@@ -57,26 +61,27 @@
     }
 }
 
-/// What this process saw and was told of requests under which endpoints ended.
+/// What this process has seen and received about requests during which endpoints crashed.
 ///
-/// Notes are joined: whatever order they come in, and however often, processes that heard the same know the
-/// same. So no process owns them, and a change of the collector loses nothing that two processes know.
+/// Merging updates is commutative and idempotent: processes that received the same updates hold the
+/// same state, in whatever order and however often they came. No process owns the state, and a
+/// change of the collector loses nothing that two processes know.
 #[derive(Debug, Default)]
 pub struct SuspectTracker {
     records: BTreeMap<RequestFingerprint, SuspectRecord>,
     answers: AnswerCache,
-    /// Since when requests are held back.
+    /// Quarantined requests and when the quarantine began.
     held: BTreeMap<RequestFingerprint, ClockTime>,
-    /// Changed here since the collector was told.
+    /// Changed locally since the last report to the collector.
     unreported: BTreeSet<RequestFingerprint>,
-    /// In a report that is not answered yet.
+    /// Sent in a report that is not acknowledged yet.
     in_flight: BTreeSet<RequestFingerprint>,
     shared: Vec<RequestFingerprint>,
     shared_hash: u64,
 }
 
 impl SuspectTracker {
-    /// Notes that an endpoint ended under a request.
+    /// Records that an endpoint crashed while it ran a request.
     pub fn record_crash(&mut self, fingerprint: RequestFingerprint, end: EndpointCrash) {
         let answered_at = self.answers.at(&fingerprint);
         let record = self.records.entry(fingerprint).or_default();
@@ -88,7 +93,7 @@
         }
     }
 
-    /// Notes that a request was answered: an endpoint bore it.
+    /// Records that a request was answered: an endpoint survived it.
     pub fn note_answer(&mut self, fingerprint: RequestFingerprint, now: ClockTime) {
         self.answers.note(fingerprint, now);
         if let Some(record) = self.records.get_mut(&fingerprint)
@@ -98,7 +103,8 @@
         }
     }
 
-    /// Takes what another process tells. What is news here is passed on to the collector.
+    /// Merges updates of another process. Anything new that this causes here is reported to the
+    /// collector.
     pub fn merge(&mut self, notes: &[SuspectUpdate], now: ClockTime) {
         for note in notes {
             self.merge_update(note, now);
@@ -112,7 +118,7 @@
         if let Some(age) = note.answered {
             record.note_answer(now - age);
         }
-        // It was answered here, which nobody who tells of its ends can know.
+        // The request was answered here, which the process that reports its crashes cannot know.
         if let Some(at) = own_answer
             && record.note_answer(at)
         {
@@ -124,7 +130,7 @@
         }
     }
 
-    /// Forgets what is too old or too much, judges anew, and gives what changed.
+    /// Expires old records, evicts excess ones, evaluates the rest anew, and returns what changed.
     pub fn settle(&mut self, now: ClockTime) -> Vec<SuspectChange> {
         self.records.retain(|_, record| record.expire(now));
         let mut changes = self.evict_least();
@@ -171,63 +177,64 @@
         self.shared_hash = self.shared.iter().fold(HASH_START, mark);
     }
 
-    /// For how much longer a request is held back; none if it is not.
+    /// Returns how much longer a request is quarantined, `None` if it is not.
     ///
-    /// A verdict may fall as soon as other processes tell what they saw. While it is new, its caller is asked to
-    /// come back when it has settled, not when the ends are forgotten.
+    /// A new verdict may be withdrawn as soon as other processes report what they saw. So at first
+    /// the caller is asked to retry when the verdict has settled, not when the crashes expire.
     pub fn held_for(&self, fingerprint: &RequestFingerprint, now: ClockTime) -> Option<TimeSpan> {
         let settled_at = *self.held.get(fingerprint)? + VERDICT_SETTLE_TIME;
         let forgotten_at = self.records.get(fingerprint)?.ends().last()?.at + CRASH_RETENTION;
         Some(if now < settled_at { settled_at - now } else { forgotten_at - now })
     }
 
-    /// Requests that are held back.
+    /// Returns the quarantined requests.
     pub fn held(&self) -> impl Iterator<Item = (RequestFingerprint, &SuspectRecord)> {
         self.held
             .keys()
             .filter_map(|fingerprint| Some((*fingerprint, self.records.get(fingerprint)?)))
     }
 
-    /// What is known of a request.
+    /// Returns the record of a request.
     pub fn record(&self, fingerprint: &RequestFingerprint) -> Option<&SuspectRecord> {
         self.records.get(fingerprint)
     }
 
-    /// How many requests are known.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is known.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// What the next report tells the collector.
+    /// Returns the updates for the next report to the collector.
     pub fn next_told(&mut self, now: ClockTime) -> Vec<SuspectUpdate> {
         self.in_flight = self.unreported.iter().copied().take(MAX_PER_REPORT).collect();
         self.notes(self.in_flight.iter(), now)
     }
 
-    /// Notes that the report was answered.
+    /// Records that the collector acknowledged the last report.
     pub fn note_taken(&mut self) {
         for fingerprint in std::mem::take(&mut self.in_flight) {
             self.unreported.remove(&fingerprint);
         }
     }
 
-    /// Notes that another process collects, which has not heard what its predecessor was told.
+    /// Marks all records for reporting, because a new collector does not know what the former one
+    /// was told.
     pub fn resend_all(&mut self) {
         self.unreported = self.records.keys().copied().collect();
         self.in_flight.clear();
     }
 
-    /// What all processes are to know.
+    /// Returns the updates that all processes should have.
     pub fn shared(&self, now: ClockTime) -> Vec<SuspectUpdate> {
         self.notes(self.shared.iter(), now)
     }
 
-    /// Tells whether two processes know the same of what all are to know.
+    /// A hash by which two processes find out whether their shared records are equal.
     pub fn shared_hash(&self) -> u64 {
         self.shared_hash
     }
@@ -244,7 +251,7 @@
     }
 }
 
-/// Requests with more ends, and later ones, come later in this order.
+/// Sort key for eviction: records with fewer crashes, and older ones, come first.
 fn eviction_key(
     (fingerprint, record): (&RequestFingerprint, &SuspectRecord),
 ) -> (usize, ClockTime, RequestFingerprint) {
--- a/tests/all/ending.rs
+++ b/tests/all/ending.rs
@@ -1,4 +1,5 @@
-//! Requests that end each endpoint which runs them, and come again at any process, in virtual time.
+//! Requests that crash every endpoint that runs them and are retried at any process, in virtual
+//! time.
 
 use crate::front::{Came, ask, request, try_ask};
 use crate::mortal::{CrashingFleet, FATAL};
@@ -13,28 +14,28 @@
 
 const PROCESSES: usize = 5;
 const ENDPOINTS: usize = 8;
-/// Callers whose requests harm nobody, one after the other each.
+/// Callers with harmless requests, each of which sends one request after the other.
 const HONEST_CALLERS: usize = 12;
-/// From the third end on, so long may pass until all processes that are in touch must know.
+/// Time after the third crash within which all connected processes must know of the request.
 const CONTACT: Duration = Duration::from_millis(3000);
-/// Times that the request may reach an endpoint after that.
+/// How often the request may reach an endpoint after that.
 const MOST_AFTER: usize = 3;
-/// Between two requests of an honest caller, in the play's own time.
+/// Pause between two requests of an honest caller, in virtual time.
 const HONEST_GAP: Duration = Duration::from_millis(10);
-/// Until a caller that got no answer asks again, in the play's own time.
+/// Delay before a caller without an answer retries, in virtual time.
 const GAP: Duration = Duration::from_millis(500);
 
-/// Processes before endpoints, with honest callers at work.
+/// Front processes with endpoints behind them and honest callers at work.
 struct EndingPlay {
     group: PlayGroup,
     fleet: Rc<CrashingFleet>,
     callers: Rc<HonestCallers>,
 }
 
-/// What callers got whose requests harm nobody.
+/// Responses to the callers with harmless requests.
 #[derive(Default)]
 struct HonestCallers {
-    /// Where they ask; processes that were killed have another address later.
+    /// Addresses of the processes; a restarted process has a new one.
     addresses: RefCell<Vec<SocketAddr>>,
     answered: Cell<u32>,
     held: Cell<u32>,
@@ -46,7 +47,7 @@
         count.set(count.get() + u32::from(is_held(came) || came.status() == "200"));
     }
 
-    /// Asks with body after body, of `bodies` by number, each time at the next process.
+    /// Sends requests with `bodies(0)`, `bodies(1)`, ..., each to the next process.
     async fn ask_on(self: Rc<Self>, caller: usize, bodies: impl Fn(usize) -> String) {
         for number in 0.. {
             let text =
@@ -60,7 +61,7 @@
     }
 }
 
-/// Whether a process holds the request back.
+/// Whether a process refused the request as quarantined.
 fn is_held(came: &Came) -> bool {
     came.has(&format!("\"code\":{}", ResultCode::RequestHeld.number()))
 }
@@ -85,7 +86,7 @@
         *self.callers.addresses.borrow_mut() = addresses.collect();
     }
 
-    /// One caller sends `body` to `path` again and again, each time at the next process.
+    /// One caller sends `body` to `path` repeatedly, each time to the next process.
     async fn repeat(&self, path: &str, body: &str, times: usize) -> Vec<Came> {
         let mut came = Vec::new();
         for number in 0..times {
@@ -100,14 +101,14 @@
         ask(self.group.processes[process].address(), &text).await
     }
 
-    /// Kills some processes, and waits until they are back.
+    /// Kills processes and waits until they are back.
     async fn kill(&mut self, killed: &[usize]) {
         self.group.kill(killed, Duration::from_secs(1)).await;
         self.note_addresses();
         self.group.until_ready().await;
     }
 
-    /// Asserts that `body` reached endpoints no more often than it may, in the whole play.
+    /// Asserts that `body` reached endpoints no more often than allowed during the whole test.
     fn assert_bounded(&self, body: &str) {
         let third = self.fleet.end_under(body, 3).expect("three endpoints ended");
         let after = self.fleet.arrivals_after(body, third + CONTACT);
@@ -115,7 +116,7 @@
         assert!(after <= MOST_AFTER, "{after} arrivals too late, {ended} endpoints ended");
     }
 
-    /// Asserts that callers were answered and none of them was held back.
+    /// Asserts that the honest callers were answered and none of them was refused as quarantined.
     fn assert_honest_unharmed(&self) {
         let (answered, held) = (self.callers.answered.get(), self.callers.held.get());
         assert!(answered > 100 && held == 0, "{answered} answered, {held} held back");
@@ -123,11 +124,11 @@
 }
 
 #[test]
-fn a_request_that_ended_three_endpoints_is_not_sent_on_at_any_process() {
-    // A caller's request ends the endpoint that runs it, and with it the answers of some honest callers. The
-    // caller gets 502 and sends it again under another id, to the next process, half a second later.
-    // No process has seen it before, and each sends it on: an endpoint ends every half second. Its id is all that
-    // a request was known by. Now its content names it, and what the processes saw of it is joined.
+fn a_request_that_crashed_three_endpoints_is_refused_at_every_process() {
+    // A request crashes the endpoint that runs it and breaks the answers of some honest callers.
+    // Its caller gets 502 and sends it again half a second later, with another id and to the next
+    // process. With the id alone no process recognizes it, and an endpoint crashes every half
+    // second. The processes must recognize it by its content and share what they saw.
     play(async {
         let play = EndingPlay::start().await;
         let body = format!("{FATAL} 1");
@@ -141,9 +142,9 @@
 }
 
 #[test]
-fn a_request_that_may_repeat_is_not_sent_on_by_the_process_itself() {
-    // The same with a route on which a process sends a request to another endpoint once its own ended: each time
-    // the caller asks, two endpoints end within 50 ms.
+fn failover_of_a_fatal_request_is_bounded() {
+    // As above, on a route where a process itself fails over to another endpoint: each time the
+    // caller asks, two endpoints crash within 50 ms.
     play(async {
         let play = EndingPlay::start().await;
         let body = format!("{FATAL} 1");
@@ -156,9 +157,9 @@
 }
 
 #[test]
-fn copies_that_are_under_way_together_are_held_back_too() {
-    // The same request is asked for at five processes at once, again and again. Each copy is under way
-    // before anything can be known of the others, and up to five endpoints end in one moment.
+fn concurrent_copies_are_quarantined_too() {
+    // The same request is sent to five processes at once, again and again. All copies run before
+    // anything is known of the others, and up to five endpoints crash at the same time.
     play(async {
         let play = EndingPlay::start().await;
         let body = format!("{FATAL} 1");
@@ -175,9 +176,9 @@
 }
 
 #[test]
-fn what_was_seen_outlives_the_collector() {
-    // Two endpoints have ended under a request when the process that joins what all saw is killed. The others
-    // must not begin anew: one of them joins on, from what each was told.
+fn crash_records_survive_a_kill_of_the_collector() {
+    // The collector is killed after two endpoints crashed under a request. The next collector must
+    // continue from what each process was told rather than start over.
     play(async {
         let mut play = EndingPlay::start().await;
         let body = format!("{FATAL} 1");
@@ -193,10 +194,10 @@
 }
 
 #[test]
-fn what_is_held_back_outlives_a_kill_of_all_processes() {
-    // A request is held back when all processes are killed at once. Memory is gone, and the caller comes again
-    // as soon as one is back: without a record in the store three more endpoints end, and what came since
-    // the processes must know again is too much.
+fn a_quarantine_survives_a_kill_of_all_processes() {
+    // All processes are killed at once while a request is quarantined. Their memory is lost, and
+    // the caller retries as soon as one is back: without a record in the store, three more
+    // endpoints crash, and the arrivals until the processes know again exceed the bound.
     play(async {
         let mut play = EndingPlay::start().await;
         let body = format!("{FATAL} 1");
@@ -214,9 +215,9 @@
 }
 
 #[test]
-fn two_ends_are_remembered_through_a_kill_of_all_processes() {
-    // Two endpoints have ended under a request when all processes are killed, and that is so again and again: the
-    // third end must find what was known of the first two.
+fn two_crashes_are_remembered_through_a_kill_of_all_processes() {
+    // Two endpoints have crashed under a request when all processes are killed, repeatedly: the
+    // third crash must still be counted together with the first two.
     play(async {
         let mut play = EndingPlay::start().await;
         let body = format!("{FATAL} 1");
@@ -234,10 +235,10 @@
 }
 
 #[test]
-fn a_request_that_many_ask_for_is_not_held_back_for_losses_of_all_endpoints() {
-    // One key is asked for by many callers, with the same content each time, at all processes. All endpoints lose
-    // their power at one moment, four times: each time the request ran at most of them. It was answered
-    // before, and is again; so it is not what ends them.
+fn a_popular_request_is_not_quarantined_for_power_losses() {
+    // Many callers send the same content at all processes. All endpoints lose power at once, four
+    // times, while the request runs at most of them. It was answered before and is answered again,
+    // so it is not the cause.
     play(async {
         let play = EndingPlay::start().await;
         for caller in 0..HONEST_CALLERS {
--- a/tests/all/mortal.rs
+++ b/tests/all/mortal.rs
@@ -1,4 +1,4 @@
-//! Endpoints that end under some requests and come back under another name, for plays.
+//! Test endpoints that crash under certain requests and restart under another name.
 
 use crate::plays::EndpointRegistry;
 use crate::scripted::read_request;
@@ -12,31 +12,31 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// A body that begins so ends the endpoint that runs it.
+/// A body with this prefix crashes the endpoint that runs it.
 pub const FATAL: &str = "fatal";
-/// How long a fatal request runs until its endpoint ends.
+/// How long a fatal request runs until its endpoint crashes.
 const FATAL_TIME: Duration = Duration::from_millis(40);
-/// How long any other one runs.
+/// How long any other request runs.
 const RUN_TIME: Duration = Duration::from_millis(300);
-/// Until the store misses an endpoint that ended.
+/// Time until the registry entry of a crashed endpoint expires.
 const LAPSE_TIME: Duration = Duration::from_millis(2200);
-/// Until another one takes its place.
+/// Time until a replacement starts.
 const RETURN_TIME: Duration = Duration::from_millis(3000);
 
-/// A request as it reached an endpoint.
+/// A request as an endpoint received it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
     pub body: String,
 }
 
-/// Endpoints of one service.
+/// The endpoints of one service.
 pub struct CrashingFleet {
     registry: EndpointRegistry,
     begun: Cell<u32>,
     living: RefCell<Vec<Rc<Life>>>,
     pub arrivals: RefCell<Vec<Arrival>>,
-    /// When an endpoint ended, and under which requests.
+    /// When each endpoint crashed, and which requests it was running.
     pub ends: RefCell<Vec<(Instant, Vec<String>)>>,
 }
 
@@ -79,20 +79,20 @@
         self.living.borrow_mut().push(life);
     }
 
-    /// All endpoints lose their power at one moment.
+    /// Crashes all endpoints at once, as a loss of power does.
     pub fn end_all(&self) {
         let living = self.living.borrow().clone();
         living.iter().for_each(end);
     }
 
-    /// When the `count`-th endpoint ended under `body`.
+    /// When the `count`-th endpoint crashed while it ran `body`.
     pub fn end_under(&self, body: &str, count: usize) -> Option<Instant> {
         let ends = self.ends.borrow();
         let under = ends.iter().filter(|(_, running)| running.iter().any(|other| other == body));
         under.map(|(at, _)| *at).nth(count - 1)
     }
 
-    /// How often `body` reached endpoints later than `from`.
+    /// How often `body` reached endpoints after `from`.
     pub fn arrivals_after(&self, body: &str, from: Instant) -> usize {
         let arrivals = self.arrivals.borrow();
         arrivals.iter().filter(|came| came.body == body && came.at > from).count()
@@ -136,7 +136,7 @@
     }
 }
 
-/// Ends a life: its port closes and all its connections break at once.
+/// Crashes an endpoint: its port closes and all its connections break at once.
 fn end(life: &Rc<Life>) {
     let running = life.running.take();
     life.fleet.ends.borrow_mut().push((Instant::now(), running));
--- a/tests/all/suspect.rs
+++ b/tests/all/suspect.rs
@@ -1,4 +1,4 @@
-//! Which requests the ends of endpoints are charged to, and what processes tell one another of them.
+//! Tests of crash attribution to requests, and of the exchange of records between processes.
 
 use arbtest::arbtest;
 use oleandertack::kind::hash::mix_bits;
@@ -24,12 +24,12 @@
     EndpointIncarnation { instance: format!("m-{number}").as_str().into(), life: 1 }
 }
 
-/// The end of endpoint `number`, `ms` after the start.
+/// A crash of endpoint `number`, `ms` after the start.
 fn end(number: usize, ms: u64) -> EndpointCrash {
     EndpointCrash { life: life(number), at: START + TimeSpan(ms), ran: TimeSpan(50) }
 }
 
-/// A book in which each endpoint ended a second after the one before, under the requests named.
+/// A tracker in which one endpoint per second crashed while it ran the given requests.
 fn book(ends: &[&[&str]]) -> SuspectTracker {
     let mut book = SuspectTracker::default();
     for (number, under) in ends.iter().enumerate() {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_same_content_has_the_same_print_and_any_other_another() {
+fn equal_content_has_equal_fingerprints_and_other_content_does_not() {
     let account = AccountName::from("tartu");
     let known = content("body");
     let others = [
@@ -69,15 +69,16 @@
 }
 
 #[test]
-fn three_ends_hold_a_request_back_and_two_do_not() {
+fn three_crashes_quarantine_a_request_and_two_do_not() {
     assert_eq!(held(&book(&[&["f"], &["f"]])), fingerprints(&[]));
     assert_eq!(held(&book(&[&["f"], &["f"], &["f"]])), fingerprints(&["f"]));
 }
 
 #[test]
-fn what_broke_beside_the_request_at_fault_is_not_held_back() {
-    // A long stream is sent on twice after breaks and meets the same request each time, and later loses an endpoint
-    // for another reason: three ends. Two of them the other request explains, which comes a fourth time.
+fn requests_beside_the_culprit_are_not_quarantined() {
+    // A long stream fails over twice and meets the same culprit each time, and later loses an
+    // endpoint for another reason: three crashes. The culprit, which comes a fourth time, explains
+    // two of them.
     let ends: &[&[&str]] = &[&["f", "h"], &["f", "h"], &["f"], &["h"], &["f"]];
 
     assert_eq!(held(&book(&ends[..4])), fingerprints(&[]));
@@ -85,8 +86,9 @@
 }
 
 #[test]
-fn requests_that_were_always_together_wait_for_an_end_that_parts_them() {
-    // Both were at the same three endpoints. One of them harms nobody, and which one the next end tells.
+fn requests_that_always_ran_together_are_told_apart_by_a_later_crash() {
+    // Both ran at the same three endpoints. One of them is harmless, and the next crash shows
+    // which.
     let together: &[&[&str]] = &[&["f", "h"], &["f", "h"], &["f", "h"]];
     let parted: &[&[&str]] = &[&["f", "h"], &["f", "h"], &["f", "h"], &["f"]];
     let never: &[&[&str]] = &[&["f", "h"], &["f", "h"], &["f", "h"], &["f", "h"], &["f", "h"]];
@@ -97,16 +99,17 @@
 }
 
 #[test]
-fn two_requests_at_fault_are_both_held_back_although_they_met() {
+fn two_culprits_that_met_are_both_quarantined() {
     let ends: &[&[&str]] = &[&["f"], &["g"], &["f", "g"], &["f"], &["g"], &["f"], &["g"]];
 
     assert_eq!(held(&book(ends)), fingerprints(&["f", "g"]));
 }
 
 #[test]
-fn a_verdict_that_more_ends_contradict_does_not_stand() {
-    // A stream was at three endpoints that another request ended, and at one that lost its power: it has most
-    // ends, and is held back. The other request comes again, and its ends explain all three.
+fn a_verdict_is_withdrawn_when_later_crashes_contradict_it() {
+    // A stream ran at three endpoints that another request crashed, and at one that lost power: it
+    // has the most crashes and is quarantined. The other request returns, and its crashes explain
+    // all three.
     let mut book = book(&[&["f", "h"], &["f", "h"], &["f", "h"], &["h"]]);
     let before = held(&book);
 
@@ -120,9 +123,10 @@
 }
 
 #[test]
-fn ends_of_one_moment_count_once() {
-    // A failure domain loses its power: all copies of a request that many ask for break at once. A process that
-    // sends a request on as soon as it broke is another matter: the next endpoint ended after that.
+fn simultaneous_crashes_count_once() {
+    // A failure domain loses power: all copies of a popular request break at once. A process that
+    // resends a request as soon as it broke is different: there the next endpoint crashed
+    // afterwards.
     let mut together = SuspectTracker::default();
     let mut in_turn = SuspectTracker::default();
 
@@ -140,8 +144,8 @@
 
 #[test]
 fn an_answer_clears_a_request_at_all_processes() {
-    // Endpoints ended under a request that another process had answered a second before. Nobody else knows that;
-    // told of the ends, that process says so.
+    // Endpoints crashed under a request that another process had answered a second before. Only
+    // that process knows of the answer, and reports it when it receives the crashes.
     let mut accused = book(&[&["h"], &["h"], &["h"]]);
     let mut other = SuspectTracker::default();
     let now = START + TimeSpan(3000);
@@ -159,7 +163,7 @@
 
 #[test]
 fn an_answer_of_long_ago_does_not_clear_a_request() {
-    // A new version of a model cannot bear what the one before did.
+    // A new version of a model may fail on a request that the former version handled.
     let mut book = SuspectTracker::default();
     let long_ago = START - EXONERATION_WINDOW - TimeSpan(1);
     book.note_answer(fingerprint("f"), long_ago);
@@ -172,8 +176,9 @@
 }
 
 #[test]
-fn a_request_is_tried_again_when_it_was_said_that_it_would_be() {
-    // At first its caller is asked to come back when the verdict has settled: it may fall until then.
+fn a_quarantine_ends_at_the_announced_time() {
+    // While the verdict is new it may be withdrawn, so the caller is first asked to retry once it
+    // has settled.
     let mut book = book(&[&["f"], &["f"], &["f"]]);
     let now = START + TimeSpan(3000);
 
@@ -188,7 +193,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_the_most_suspected_stay() {
+fn records_are_bounded_and_those_with_most_crashes_are_kept() {
     const MANY: usize = 5000;
     let mut book = book(&[&["f"], &["f"], &["f"]]);
 
@@ -203,10 +208,10 @@
 }
 
 #[test]
-fn a_broken_attempt_counts_once_its_endpoint_is_known_to_have_ended() {
-    // Connections break at endpoints that live on: these attempts never count, however many there are. Of one that
-    // ended, news may come before or after the break. What is sent there after something broke did not end it,
-    // unless the endpoint answered in between.
+fn a_broken_attempt_counts_only_if_its_endpoint_crashed() {
+    // Connections break at endpoints that keep running: such attempts never count. The news of a
+    // crash may come before or after the break. A request sent there after another attempt broke
+    // did not cause the crash, unless the endpoint answered in between.
     let mut watch = CrashMonitor::default();
     let at = |ms| START + TimeSpan(ms);
 
@@ -232,7 +237,7 @@
     assert_eq!(too_late, vec![]);
 }
 
-/// Tells `to` what `from` knows, as a report and its digest do.
+/// Sends the state of `from` to `to`, as a report and its digest do.
 fn exchange(from: &mut SuspectTracker, to: &mut SuspectTracker, now: ClockTime) {
     to.merge(&from.next_told(now), now);
     to.settle(now);
@@ -244,12 +249,12 @@
 }
 
 #[test]
-fn processes_that_heard_the_same_know_the_same_whatever_the_order() {
+fn merging_updates_does_not_depend_on_their_order() {
     arbtest(|u| {
         let now = START + TimeSpan(100_000);
         let mut notes: Vec<SuspectUpdate> = Vec::new();
         for _ in 0..u.int_in_range(1..=12)? {
-            // An end has one time, whoever tells of it.
+            // Each crash has one time, whichever process reports it.
             let end = |number: usize| CrashUpdate {
                 life: life(number),
                 age: TimeSpan(90_000 - number as u64 * 7000),
@@ -278,7 +283,7 @@
     .budget_ms(3000);
 }
 
-/// Callers, processes, endpoints and the news between the processes, without a network.
+/// Simulates callers, processes, endpoints and the exchange between processes, without a network.
 struct FleetPlay {
     random: u64,
     now: ClockTime,
@@ -286,13 +291,13 @@
     collector: usize,
     endpoints: Vec<FleetEndpoint>,
     lives: usize,
-    /// What was seen of ends, until the process that ran the request knows: when, where, what.
+    /// Crashes that the process which ran the request has not detected yet.
     unseen: Vec<(ClockTime, usize, RequestFingerprint, EndpointCrash)>,
     sent: Vec<(RequestFingerprint, ClockTime)>,
     ended: Vec<(RequestFingerprint, ClockTime)>,
     /// Honest requests that some process refused to send.
     refused: BTreeSet<RequestFingerprint>,
-    /// Callers that got no answer and ask once more.
+    /// Callers that got no answer and will retry.
     again: Vec<(ClockTime, RequestFingerprint)>,
     honest_done: usize,
 }
@@ -344,12 +349,13 @@
         self.random % most
     }
 
-    /// Sends a request to an endpoint that is there; no if it is held back or none is.
+    /// Sends a request to a live endpoint; returns `false` if it is quarantined or no endpoint is
+    /// live.
     fn send(&mut self, run: FleetRun) -> bool {
         if self.books[run.process].held_for(&run.fingerprint, self.now).is_some() {
             let left = self.books[run.process].held_for(&run.fingerprint, self.now);
             match left {
-                // Callers wait for a third of their time, five seconds of fifteen.
+                // Callers wait for a third of their deadline, five seconds of fifteen.
                 Some(left) if left <= TimeSpan(5000) && !run.fatal => {
                     self.again.push((self.now + left, run.fingerprint));
                 }
@@ -385,7 +391,7 @@
             self.ended.push((run.fingerprint, self.now));
             let ran = self.now - run.began_at;
             let end = EndpointCrash { life: life(endpoint.life), at: self.now, ran };
-            // Its own look at the port tells most often, else the list.
+            // Most crashes are detected by a probe of the port, the others by the endpoint list.
             let delay = if self.draw(10) == 0 { 2200 } else { 2 + self.draw(20) };
             if run.fatal || self.now - run.began_at <= TimeSpan(1000) {
                 self.unseen.push((self.now + TimeSpan(delay), run.process, run.fingerprint, end));
@@ -444,13 +450,13 @@
             self.books[process] = own;
         }
         if step > 0 && step.is_multiple_of(400) {
-            // Another process collects.
+            // Another process becomes the collector.
             self.collector = self.draw(FLEET_PROCESSES as u64) as usize;
             self.books.iter_mut().for_each(SuspectTracker::resend_all);
         }
     }
 
-    /// Plays 20 s with `fatal` requests that come again and again, and thirty honest streams a second.
+    /// Simulates 20 s with `fatal` requests that are repeated, and thirty honest streams a second.
     fn run(&mut self, fatal: &[RequestFingerprint]) {
         let mut due_at = vec![START + TimeSpan(1000); fatal.len()];
         for step in 0..4000 {
@@ -488,7 +494,7 @@
         self.send(run);
     }
 
-    /// How often `print` was sent later than three seconds after its third end.
+    /// How often `fingerprint` was sent later than three seconds after its third crash.
     fn sent_too_late(&self, fingerprint: &RequestFingerprint) -> usize {
         let third = self.ended.iter().filter(|(other, _)| other == fingerprint).nth(2);
         let Some((_, third)) = third else { return 0 };
@@ -498,9 +504,10 @@
 }
 
 #[test]
-fn no_honest_request_is_held_back_beside_requests_that_end_endpoints() {
-    // Two requests end endpoints, two a second together, and each end breaks three honest streams or so, which
-    // are sent on at once and may meet the next end. Seeds of one range, so that the verdict is always the same.
+fn no_honest_request_is_quarantined_beside_culprits() {
+    // Two requests crash two endpoints a second together, and each crash breaks about three honest
+    // streams, which are resent at once and may meet the next crash. The seeds are fixed so that
+    // the result is deterministic.
     const SEEDS: u64 = 30;
     let fatal = [fingerprint("f"), fingerprint("g")];
     let mut honest = 0;
