--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -8,7 +8,7 @@
 use oleander_kind::{RequestRate, ServiceName};
 use oleander_list::StoreVouch;
 use oleander_mesh::NewsAccount;
-use oleander_release::ReleaseTold;
+use oleander_release::OrderStatus;
 use oleander_suspect::{RequestFingerprint, SuspectRecord};
 use serde_json::{Value, json};
 use std::rc::Rc;
@@ -116,7 +116,7 @@
 fn dump_releases(node: &FrontNode) -> Value {
     let desk = node.releases.borrow();
     let news = desk.book.news(node.clock.now());
-    let order = |told: &ReleaseTold| {
+    let order = |told: &OrderStatus| {
         let running = desk.running.get(&told.service).filter(|one| one.plan.order().to == told.to);
         json!({
             "service": told.service.as_str(),
--- a/crates/front/src/mesh/digest.rs
+++ b/crates/front/src/mesh/digest.rs
@@ -30,7 +30,7 @@
         let told = (&digest.roster, trip);
         roster::take_peer_update(node, &digest.roster_update, told, Some(digest.roster_state));
     }
-    node.releases.borrow_mut().book.hear(&digest.releases, trip, now);
+    node.releases.borrow_mut().book.apply_news(&digest.releases, trip, now);
     releases::refresh(node);
     take_loads(node, &digest.loads);
     take_verdicts(node, &digest.verdicts);
--- a/crates/front/src/releases.rs
+++ b/crates/front/src/releases.rs
@@ -14,7 +14,7 @@
 use oleander_limit::PoolLimit;
 use oleander_mesh::{NodeReport, RouteEvidence, ServiceDemand};
 use oleander_place::{EndpointBoard, EndpointFact, EndpointKey};
-use oleander_release::{ListedVersion, RequestLane, TRIED_HELD, exposure_limit};
+use oleander_release::{ListedVersion, TRIAL_GRANTS, VersionLane, exposure_limit};
 
 /// The fewest endpoints of a version that get its requests while it is tried.
 const LEAST_TRIED: usize = 3;
@@ -36,12 +36,12 @@
     let mut lacks_news = false;
     for service in &services {
         let listed = listed_versions(&board, service);
-        lacks_news |= desk.book.note_versions(service, &listed, now);
+        lacks_news |= desk.book.update_versions(service, &listed, now);
         let tried = tried_endpoints(&board, service, (&desk, node.bounds().release_share));
         for key in board.of_service(service).to_vec() {
             let Some(fact) = board.get_mut(key) else { continue };
             let version = (service, &fact.entry.release);
-            fact.serves = desk.book.takes(version, RequestLane::Serving, now);
+            fact.serves = desk.book.takes(version, VersionLane::Serving, now);
             fact.is_tried = tried.contains(&key);
         }
     }
@@ -116,7 +116,7 @@
     let share = node.bounds().release_share;
     let (account, is_moving) = {
         let desk = node.releases.borrow();
-        let account = desk.book.paid_from(service, (lot, share), (takes, now))?;
+        let account = desk.book.paying_account(service, (lot, share), (takes, now))?;
         (account, desk.book.is_moving(service))
     };
     // While a version is tried a request that finds nothing handed out goes where it always went. One that would outlast the
@@ -139,8 +139,8 @@
 
 /// The requests of versions under orders that this process should hold.
 pub(crate) fn hold_tried(node: &FrontNode) {
-    let accounts = node.releases.borrow().book.paid_accounts();
-    node.limits.borrow_mut().hold_least(&accounts, TRIED_HELD);
+    let accounts = node.releases.borrow().book.trial_accounts();
+    node.limits.borrow_mut().hold_least(&accounts, TRIAL_GRANTS);
 }
 
 /// The route that evidence of an endpoint is told by; none if no order is under way for its service.
@@ -166,9 +166,9 @@
         let Some(running) = desk.running.get_mut(&fact.entry.service) else { continue };
         if fact.entry.release == running.plan.order().to {
             let instance = CompactString::from(seen.instance.as_str());
-            running.plan.case.note_tried(route, &instance, &seen.tally);
+            running.plan.case.record_trial(route, &instance, &seen.tally);
         } else {
-            running.plan.case.note_serving(route, &seen.tally, now);
+            running.plan.case.record_serving(route, &seen.tally, now);
         }
     }
 }
--- a/crates/front/src/releases/desk.rs
+++ b/crates/front/src/releases/desk.rs
@@ -1,7 +1,7 @@
 //! What a process knows of roll-outs.
 
 use oleander_kind::{AccountName, ClockTime, ServiceName, TimeSpan};
-use oleander_release::{OrderEntry, ReleaseBook, ReleaseNews, ReleasePlan, exposure_account};
+use oleander_release::{OrderEntry, OrderNews, ReleasePlan, VersionRouter, exposure_account};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How old what the board says of versions may be while an order is under way: the moment from which a version gets all
@@ -43,7 +43,7 @@
 #[derive(Debug, Default)]
 pub struct ReleaseDesk {
     /// What it goes by.
-    pub book: ReleaseBook,
+    pub book: VersionRouter,
     /// The orders that it carries out while it collects, by service.
     pub running: BTreeMap<ServiceName, RunningOrder>,
     /// Versions of orders that were withdrawn while they ran here.
@@ -57,13 +57,13 @@
 
 impl ReleaseDesk {
     /// What to tell the others.
-    pub fn news(&self, now: ClockTime) -> ReleaseNews {
+    pub fn news(&self, now: ClockTime) -> OrderNews {
         let known = self.book.news(now);
         let Some(mark) = self.read_mark else { return known };
         let told =
             self.running.values().map(|running| running.plan.told(running.sent, now)).collect();
         let held: BTreeSet<_> = known.held.into_iter().chain(self.withdrawn.clone()).collect();
-        ReleaseNews { mark: mark.max(known.mark), told, held: held.into_iter().collect() }
+        OrderNews { mark: mark.max(known.mark), told, held: held.into_iter().collect() }
     }
 
     /// The order that is paid from `account`.
@@ -82,6 +82,6 @@
 
     /// Whether the board has to be brought up before a request is placed.
     pub fn is_refresh_due(&self, now: ClockTime) -> bool {
-        now - self.refreshed_at >= REFRESH_TIME && self.book.is_any_moving()
+        now - self.refreshed_at >= REFRESH_TIME && self.book.any_moving()
     }
 }
--- a/crates/front/src/releases/keep.rs
+++ b/crates/front/src/releases/keep.rs
@@ -10,7 +10,7 @@
 use oleander_mesh::EndpointMark;
 use oleander_plat::{FeedAnswer, FeedEvent, FeedKind, FeedObject, FeedWrite, PlatError};
 use oleander_release::{
-    ExposureBounds, OrderEntry, OrderFault, PlanAction, PlanFacts, ReleasePlan, ReleaseStage,
+    ExposureBounds, OrderEntry, OrderFault, PlanAction, PlanInputs, ReleasePlan, ReleaseStage,
     ReleaseState, exposure_account,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -244,7 +244,7 @@
         drop_completed(node, &service, now);
         for action in actions {
             match action {
-                PlanAction::Tell(stage) => tell_stage(node, &service, (stage, &facts)),
+                PlanAction::Announce(stage) => tell_stage(node, &service, (stage, &facts)),
                 PlanAction::Write(state) if lease.fence().is_some() => {
                     write_state(node, &service, state).await;
                 }
@@ -268,22 +268,26 @@
     }
 }
 
-fn tell_stage(node: &FrontNode, service: &ServiceName, (stage, facts): (ReleaseStage, &PlanFacts)) {
+fn tell_stage(
+    node: &FrontNode,
+    service: &ServiceName,
+    (stage, facts): (ReleaseStage, &PlanInputs),
+) {
     let desk = node.releases.borrow();
     let Some(running) = desk.running.get(service) else { return };
     event!(node, ReleaseStaged;
         "service" => service.as_str(), "to" => running.plan.order().to.as_str(),
         "stage" => format!("{stage:?}"), "number" => running.plan.number(),
         "seen" => running.plan.case.seen(), "score" => format!("{:.1}", running.plan.case.score()),
-        "sent" => facts.sent, "handed" => facts.handed, "endpoints" => facts.tried_live);
+        "sent" => facts.sent, "handed" => facts.handed, "endpoints" => facts.trial_endpoints);
 }
 
-fn plan_facts(node: &FrontNode, service: &ServiceName, now: ClockTime) -> PlanFacts {
+fn plan_facts(node: &FrontNode, service: &ServiceName, now: ClockTime) -> PlanInputs {
     let desk = node.releases.borrow();
-    let Some(running) = desk.running.get(service) else { return PlanFacts::default() };
+    let Some(running) = desk.running.get(service) else { return PlanInputs::default() };
     let board = node.endpoints.borrow();
     let mesh = node.mesh.borrow();
-    let Some(collector) = mesh.collector.as_ref() else { return PlanFacts::default() };
+    let Some(collector) = mesh.collector.as_ref() else { return PlanInputs::default() };
     let order = running.plan.order();
     let account = exposure_account(service, &order.to);
     let handed = collector.windows().find(|(name, _)| **name == account);
@@ -301,11 +305,11 @@
         }
         _ => false,
     };
-    PlanFacts {
+    PlanInputs {
         sent: running.sent(),
         rate_per_s: collector.demand_of(service, now).requests,
         handed: handed.map_or(0.0, |(_, stand)| (stand.spent + stand.open) as f64),
-        tried_live: live.count(),
+        trial_endpoints: live.count(),
         is_left,
     }
 }
--- a/crates/front/src/roster.rs
+++ b/crates/front/src/roster.rs
@@ -10,7 +10,7 @@
 };
 use oleander_place::EndpointEntry;
 use oleander_plat::{FeedEvent, FeedObject, FeedPage};
-use oleander_release::RequestLane;
+use oleander_release::VersionLane;
 
 /// Heartbeats of an endpoint that can be lost without the store before its entry lapses: it lapses
 /// after three intervals of silence; of these one may have passed when the store was last heard,
@@ -157,7 +157,7 @@
     {
         let version = (&fact.entry.service, &fact.entry.release);
         let mut desk = node.releases.borrow_mut();
-        fact.serves = desk.book.takes(version, RequestLane::Serving, node.clock.now());
+        fact.serves = desk.book.takes(version, VersionLane::Serving, node.clock.now());
         desk.is_stale |= !fact.serves;
     }
     drop(board);
--- a/crates/mesh/src/collector.rs
+++ b/crates/mesh/src/collector.rs
@@ -15,7 +15,7 @@
 use oleander_list::{RosterBook, RosterState};
 use oleander_pace::{ReadPace, join_paces};
 use oleander_plat::FeedObject;
-use oleander_release::ReleaseNews;
+use oleander_release::OrderNews;
 use oleander_suspect::SuspectTracker;
 use std::collections::BTreeMap;
 
@@ -49,7 +49,7 @@
     /// The lease as last seen.
     pub lease: Option<LeaseNotice>,
     /// The roll-outs under way.
-    pub releases: ReleaseNews,
+    pub releases: OrderNews,
     /// Reports of an earlier turn than this were sent long ago.
     pub oldest_turn: u64,
     /// The time.
--- a/crates/mesh/src/message.rs
+++ b/crates/mesh/src/message.rs
@@ -12,7 +12,7 @@
 use oleander_list::{PartAsk, RosterPart, RosterStand, RosterState, RosterUpdate, VouchNote};
 use oleander_pace::ReadPace;
 use oleander_plat::FeedObject;
-use oleander_release::ReleaseNews;
+use oleander_release::OrderNews;
 use oleander_suspect::SuspectUpdate;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -370,7 +370,7 @@
     pub lease: Option<LeaseNotice>,
     /// The roll-outs under way.
     #[serde(rename = "b", default)]
-    pub releases: ReleaseNews,
+    pub releases: OrderNews,
 }
 
 /// The members as one process knows them.
--- a/crates/release/src/exposure.rs
+++ b/crates/release/src/exposure.rs
@@ -7,8 +7,8 @@
 use oleander_kind::{AccountName, ServiceName, TimeSpan};
 use oleander_limit::PoolLimit;
 
-/// Requests that a process should hold while a version is tried.
-pub const TRIED_HELD: u64 = 1;
+/// Requests that a process should hold while a version is trial_bound.
+pub const TRIAL_GRANTS: u64 = 1;
 
 /// The operators' bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,23 +20,23 @@
 }
 
 /// What a version gets before it looks sound, as a part of its bound: enough to judge by; the rest is left for moving.
-const TRIED_PART: f64 = 0.15;
+const TRIAL_FRACTION: f64 = 0.15;
 /// The part of the slack that is used. The rest is for what is counted at another moment than it arrives.
-const SLACK_PART: f64 = 0.9;
+const SLACK_FRACTION: f64 = 0.9;
 /// The part of the slack that is used before a version looks sound.
-const TRIED_SLACK: f64 = 0.4;
+const TRIAL_SLACK_FRACTION: f64 = 0.4;
 /// Longer than any order that matters: what was handed out counts until its order is decided.
-const WINDOW: TimeSpan = TimeSpan::secs(60);
+const GRANT_WINDOW: TimeSpan = TimeSpan::secs(60);
 
 impl ExposureBounds {
     /// Requests that a version may get, of `sent` ones since the order, before it looks sound.
-    pub fn tried(&self, sent: f64) -> f64 {
-        self.share * TRIED_PART * sent + self.slack * TRIED_SLACK
+    pub fn trial_bound(&self, sent: f64) -> f64 {
+        self.share * TRIAL_FRACTION * sent + self.slack * TRIAL_SLACK_FRACTION
     }
 
     /// The same once it does.
-    pub fn moved(&self, sent: f64) -> f64 {
-        self.share * sent + self.slack * SLACK_PART
+    pub fn move_bound(&self, sent: f64) -> f64 {
+        self.share * sent + self.slack * SLACK_FRACTION
     }
 }
 
@@ -47,5 +47,10 @@
 
 /// The limit of that account.
 pub fn exposure_limit(most: f64) -> PoolLimit {
-    PoolLimit { rate_per_s: 0.0, burst: most.floor().max(0.0), overshoot: 0.0, window: WINDOW }
+    PoolLimit {
+        rate_per_s: 0.0,
+        burst: most.floor().max(0.0),
+        overshoot: 0.0,
+        window: GRANT_WINDOW,
+    }
 }
--- a/crates/release/src/order.rs
+++ b/crates/release/src/order.rs
@@ -5,7 +5,7 @@
 use quick_error::quick_error;
 
 /// The longest order that is believed.
-const LONGEST: TimeSpan = TimeSpan(24 * 3_600_000);
+const MAX_DURATION: TimeSpan = TimeSpan(24 * 3_600_000);
 
 /// That a service's requests move to endpoints of another version.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -100,7 +100,7 @@
         if !is_known {
             return Err(OrderFault::UnknownService);
         }
-        if self.lasts == TimeSpan(0) || self.lasts > LONGEST {
+        if self.lasts == TimeSpan(0) || self.lasts > MAX_DURATION {
             return Err(OrderFault::BadTime);
         }
         let serves_alone = serving.len() == 1 && *serving[0] == self.to;
--- a/crates/release/src/book.rs
+++ b/crates/release/src/routing.rs
@@ -12,14 +12,14 @@
 
 /// For how long versions of which nothing is known wait for news of the orders. Then the oldest one serves: callers of a
 /// process that hears nobody are not refused for that.
-const UNKNOWN_WAIT: TimeSpan = TimeSpan(2000);
+const UNKNOWN_VERSION_TIMEOUT: TimeSpan = TimeSpan(2000);
 
 /// The part of the share that goes on being tried while requests that last long move.
-const MOVING_PART: f64 = 0.1;
+const MOVING_TRIAL_FRACTION: f64 = 0.1;
 
 /// What the processes are told of an order's stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ToldStage {
+pub enum AnnouncedStage {
     /// The version gets a part of the requests.
     #[serde(rename = "t")]
     Trying,
@@ -40,7 +40,7 @@
 
 /// What the processes are told of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReleaseTold {
+pub struct OrderStatus {
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceName,
@@ -49,7 +49,7 @@
     pub to: CompactString,
     /// How far it is.
     #[serde(rename = "p")]
-    pub stage: ToldStage,
+    pub stage: AnnouncedStage,
     /// Raised with each change.
     #[serde(rename = "n")]
     pub number: u64,
@@ -63,13 +63,13 @@
 
 /// What the processes are told of all orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReleaseNews {
+pub struct OrderNews {
     /// The store's revision as of which the orders are known; 0 if they are not.
     #[serde(rename = "m", default)]
     pub mark: u64,
     /// The orders.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    pub told: Vec<ReleaseTold>,
+    pub told: Vec<OrderStatus>,
     /// Versions that get nothing although no order names them any more: it was withdrawn before it was decided.
     #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
     pub held: Vec<(ServiceName, CompactString)>,
@@ -77,12 +77,12 @@
 
 /// Which endpoints a request may go to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum RequestLane {
+pub enum VersionLane {
     /// Those of the versions that serve.
     #[default]
     Serving,
     /// Those of the version under an order.
-    Tried,
+    Trial,
 }
 
 /// A version of a service, as its endpoints' entries show it.
@@ -97,65 +97,65 @@
 }
 
 #[derive(Clone, Debug)]
-struct HeardOrder {
-    told: ReleaseTold,
+struct KnownOrder {
+    told: OrderStatus,
     at: ClockTime,
 }
 
-impl HeardOrder {
+impl KnownOrder {
     /// Whether it is neither completed nor rolled back.
     fn is_open(&self) -> bool {
-        matches!(self.told.stage, ToldStage::Trying | ToldStage::Moving { .. })
+        matches!(self.told.stage, AnnouncedStage::Trying | AnnouncedStage::Moving { .. })
     }
 
     fn is_moving(&self) -> bool {
-        matches!(self.told.stage, ToldStage::Moving { .. })
+        matches!(self.told.stage, AnnouncedStage::Moving { .. })
     }
 
     /// Whether the version gets all requests by now.
     fn is_full(&self, now: ClockTime) -> bool {
         match self.told.stage {
-            ToldStage::Moving { full_in } => now >= self.at + full_in,
-            ToldStage::Completed => true,
-            ToldStage::Trying | ToldStage::Back => false,
+            AnnouncedStage::Moving { full_in } => now >= self.at + full_in,
+            AnnouncedStage::Completed => true,
+            AnnouncedStage::Trying | AnnouncedStage::Back => false,
         }
     }
 }
 
 /// What one process knows of orders and versions.
 #[derive(Clone, Debug, Default)]
-pub struct ReleaseBook {
+pub struct VersionRouter {
     mark: u64,
-    orders: BTreeMap<ServiceName, HeardOrder>,
+    orders: BTreeMap<ServiceName, KnownOrder>,
     held: BTreeSet<(ServiceName, CompactString)>,
     /// Versions that serve.
     open: BTreeMap<ServiceName, BTreeSet<CompactString>>,
     unknown_since: BTreeMap<ServiceName, ClockTime>,
 }
 
-impl ReleaseBook {
+impl VersionRouter {
     /// The revision as of which the orders are known.
     pub fn mark(&self) -> u64 {
         self.mark
     }
 
     /// Takes news that was written `late` ago at the most. Older news than what is known is left out.
-    pub fn hear(&mut self, news: &ReleaseNews, late: TimeSpan, now: ClockTime) {
+    pub fn apply_news(&mut self, news: &OrderNews, late: TimeSpan, now: ClockTime) {
         if news.mark < self.mark || news.mark == 0 {
             return;
         }
         self.mark = news.mark;
         self.held.extend(news.held.iter().cloned());
-        self.hold_withdrawn(&news.told);
+        self.hold_withdrawn_versions(&news.told);
         let at = now - late;
         let heard =
-            |told: &ReleaseTold| (told.service.clone(), HeardOrder { told: told.clone(), at });
+            |told: &OrderStatus| (told.service.clone(), KnownOrder { told: told.clone(), at });
         self.orders = news.told.iter().map(heard).collect();
         // A version that was held back and is ordered again goes by its order.
         for told in &news.told {
             self.held.remove(&(told.service.clone(), told.to.clone()));
         }
-        for told in news.told.iter().filter(|told| told.stage == ToldStage::Completed) {
+        for told in news.told.iter().filter(|told| told.stage == AnnouncedStage::Completed) {
             let open = self.open.entry(told.service.clone()).or_default();
             open.clear();
             open.insert(told.to.clone());
@@ -163,36 +163,38 @@
     }
 
     /// Holds the versions of orders that were not completed and are not there any more.
-    fn hold_withdrawn(&mut self, told: &[ReleaseTold]) {
-        let is_told = |order: &HeardOrder| {
+    fn hold_withdrawn_versions(&mut self, told: &[OrderStatus]) {
+        let is_told = |order: &KnownOrder| {
             let same =
-                |one: &ReleaseTold| one.service == order.told.service && one.to == order.told.to;
+                |one: &OrderStatus| one.service == order.told.service && one.to == order.told.to;
             told.iter().any(same)
         };
-        let is_done = |order: &HeardOrder| order.told.stage == ToldStage::Completed;
+        let is_done = |order: &KnownOrder| order.told.stage == AnnouncedStage::Completed;
         let gone = self.orders.values().filter(|order| !is_done(order) && !is_told(order));
         let gone = gone.map(|order| (order.told.service.clone(), order.told.to.clone()));
         self.held.extend(gone.collect::<Vec<_>>());
     }
 
     /// The accounts from which requests to versions under orders are paid.
-    pub fn paid_accounts(&self) -> Vec<AccountName> {
-        let account = |order: &HeardOrder| exposure_account(&order.told.service, &order.told.to);
+    pub fn trial_accounts(&self) -> Vec<AccountName> {
+        let account = |order: &KnownOrder| exposure_account(&order.told.service, &order.told.to);
         self.orders.values().filter(|order| order.is_open()).map(account).collect()
     }
 
     /// What this process was told, for one that collects from now on and for the others.
-    pub fn news(&self, now: ClockTime) -> ReleaseNews {
-        let told = |order: &HeardOrder| {
+    pub fn news(&self, now: ClockTime) -> OrderNews {
+        let told = |order: &KnownOrder| {
             let ago = now - order.at;
             let left = |span: TimeSpan| TimeSpan(span.0.saturating_sub(ago.0));
             let stage = match &order.told.stage {
-                ToldStage::Moving { full_in } => ToldStage::Moving { full_in: left(*full_in) },
+                AnnouncedStage::Moving { full_in } => {
+                    AnnouncedStage::Moving { full_in: left(*full_in) }
+                }
                 other => other.clone(),
             };
-            ReleaseTold { stage, ends_in: left(order.told.ends_in), ..order.told.clone() }
+            OrderStatus { stage, ends_in: left(order.told.ends_in), ..order.told.clone() }
         };
-        ReleaseNews {
+        OrderNews {
             mark: self.mark,
             told: self.orders.values().map(told).collect(),
             held: self.held.iter().cloned().collect(),
@@ -201,7 +203,7 @@
 
     /// The plans that this process goes by, for its reports.
     pub fn followed(&self) -> Vec<(ServiceName, u64)> {
-        let followed = |order: &HeardOrder| (order.told.service.clone(), order.told.number);
+        let followed = |order: &KnownOrder| (order.told.service.clone(), order.told.number);
         self.orders.values().map(followed).collect()
     }
 
@@ -213,16 +215,16 @@
 
     /// Whether a version is about to get all requests of a service.
     pub fn is_moving(&self, service: &ServiceName) -> bool {
-        self.orders.get(service).is_some_and(HeardOrder::is_moving)
+        self.orders.get(service).is_some_and(KnownOrder::is_moving)
     }
 
     /// Whether that holds for any service.
-    pub fn is_any_moving(&self) -> bool {
-        self.orders.values().any(HeardOrder::is_moving)
+    pub fn any_moving(&self) -> bool {
+        self.orders.values().any(KnownOrder::is_moving)
     }
 
     /// Takes the versions that a service's endpoints have; says whether news of the orders is lacking for some.
-    pub fn note_versions(
+    pub fn update_versions(
         &mut self,
         service: &ServiceName,
         listed: &[ListedVersion],
@@ -246,7 +248,8 @@
         let since = *self.unknown_since.entry(service.clone()).or_insert(now);
         if unknown.is_empty() {
             self.unknown_since.remove(service);
-        } else if open.is_empty() && (unknown.len() == 1 || now - since >= UNKNOWN_WAIT) {
+        } else if open.is_empty() && (unknown.len() == 1 || now - since >= UNKNOWN_VERSION_TIMEOUT)
+        {
             // There is no other that one alone could be compared with.
             let oldest = unknown.iter().min_by_key(|one| (one.life, one.revision));
             open.extend(oldest.map(|one| one.version.clone()));
@@ -259,7 +262,7 @@
     fn is_governed(&self, service: &ServiceName, version: &CompactString) -> bool {
         let order = self.orders.get(service);
         let ordered = order.is_some_and(|order| {
-            order.told.to == *version && order.told.stage != ToldStage::Completed
+            order.told.to == *version && order.told.stage != AnnouncedStage::Completed
         });
         ordered || self.held.contains(&(service.clone(), version.clone()))
     }
@@ -268,7 +271,7 @@
     pub fn takes(
         &self,
         (service, version): (&ServiceName, &CompactString),
-        lane: RequestLane,
+        lane: VersionLane,
         now: ClockTime,
     ) -> bool {
         let order = self.orders.get(service);
@@ -276,8 +279,8 @@
             return order.told.to == *version;
         }
         match lane {
-            RequestLane::Tried => self.tried(service) == Some(version),
-            RequestLane::Serving => {
+            VersionLane::Trial => self.tried(service) == Some(version),
+            VersionLane::Serving => {
                 let is_open = self.open.get(service).is_some_and(|open| open.contains(version));
                 is_open && !self.is_governed(service, version)
             }
@@ -286,7 +289,7 @@
 
     /// The account from which a request has to be paid to go to the version under an order; none if it goes to those that
     /// serve. `lot` is drawn in 0 to 1; `share` is the part that is tried; `takes` is how long the answer is expected to last.
-    pub fn paid_from(
+    pub fn paying_account(
         &self,
         service: &ServiceName,
         (lot, share): (f64, f64),
@@ -294,12 +297,12 @@
     ) -> Option<AccountName> {
         let order = self.orders.get(service).filter(|order| !order.is_full(now))?;
         let is_wanted = match order.told.stage {
-            ToldStage::Trying => lot < share,
+            AnnouncedStage::Trying => lot < share,
             // It would still run at the former version when that is to be left.
-            ToldStage::Moving { full_in } => {
-                lot < share * MOVING_PART || now + takes >= order.at + full_in
+            AnnouncedStage::Moving { full_in } => {
+                lot < share * MOVING_TRIAL_FRACTION || now + takes >= order.at + full_in
             }
-            ToldStage::Completed | ToldStage::Back => false,
+            AnnouncedStage::Completed | AnnouncedStage::Back => false,
         };
         is_wanted.then(|| exposure_account(service, &order.told.to))
     }
--- a/crates/suspect/src/monitor.rs
+++ b/crates/suspect/src/monitor.rs
@@ -10,7 +10,7 @@
 const MATCH_WINDOW: TimeSpan = TimeSpan(4000);
 /// Minimum interval between two probes of one endpoint: each costs it a connection, and one probe
 /// covers all attempts that broke at the same moment.
-const PROBE_INTERVAL: TimeSpan = TimeSpan(500);
+const PROBE_PERIOD: TimeSpan = TimeSpan(500);
 /// Maximum number of attempts and crashes kept: what all endpoints of a large service run at once.
 const MAX_ENTRIES: usize = 1024;
 
@@ -99,7 +99,7 @@
 
     /// Whether the caller should probe `life` now; `false` if it was probed recently.
     pub fn start_probe(&mut self, life: &EndpointIncarnation, now: ClockTime) -> bool {
-        self.probed.retain(|(_, at)| now - *at < PROBE_INTERVAL);
+        self.probed.retain(|(_, at)| now - *at < PROBE_PERIOD);
         let is_due = self.probed.iter().all(|(probed, _)| probed != life);
         if is_due {
             push_bounded(&mut self.probed, (life.clone(), now));
--- a/tests/all/ending.rs
+++ b/tests/all/ending.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_quarantine_survives_a_kill_of_all_processes() {
+fn a_quarantine_survives_a_restart_of_all_processes() {
     // All processes are killed at once while a request is quarantined. Their memory is lost, and
     // the caller retries as soon as one is back: without a record in the store, three more
     // endpoints crash, and the arrivals until the processes know again exceed the bound.
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn two_crashes_are_remembered_through_a_kill_of_all_processes() {
+fn two_crashes_are_remembered_through_a_restart_of_all_processes() {
     // Two endpoints have crashed under a request when all processes are killed, repeatedly: the
     // third crash must still be counted together with the first two.
     play(async {
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -12,7 +12,7 @@
 };
 use oleandertack::pace::ReadPace;
 use oleandertack::plat::FeedEvent;
-use oleandertack::release::ReleaseNews;
+use oleandertack::release::OrderNews;
 use oleandertack::suspect::SuspectTracker;
 use oleandertack::wire::encode_frame;
 
@@ -246,7 +246,7 @@
             peaks: Vec::new(),
             paces: self.paces.clone(),
             lease: None,
-            releases: ReleaseNews::default(),
+            releases: OrderNews::default(),
             oldest_turn: self.oldest_turn,
             now,
         };
--- a/tests/all/release.rs
+++ b/tests/all/release.rs
@@ -8,9 +8,9 @@
 use oleandertack::kind::{ClockTime, InstanceId, ServiceName, TimeSpan};
 use oleandertack::limit::{LedgerPast, PoolGate, PoolLedger, PoolSpender};
 use oleandertack::release::{
-    ExposureBounds, ListedVersion, PlanFacts, PlanReason, ReleaseBook, ReleaseNews, ReleaseOrder,
-    ReleasePlan, ReleaseStage, ReleaseTold, RequestLane, TRIED_HELD, ToldStage, exposure_account,
-    exposure_limit,
+    AnnouncedStage, ExposureBounds, ListedVersion, OrderNews, OrderStatus, PlanInputs, PlanReason,
+    ReleaseOrder, ReleasePlan, ReleaseStage, TRIAL_GRANTS, VersionLane, VersionRouter,
+    exposure_account, exposure_limit,
 };
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
 
 /// How a version is bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum BadKind {
+enum VersionFault {
     Good,
     /// It fails this part of its requests in a hundred from a moment on.
     Fails {
@@ -49,7 +49,7 @@
 
 /// What else goes on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Disturbance {
     Calm,
     /// All endpoints of both versions fail nearly half of their requests for 4 s.
     AllFail,
@@ -63,17 +63,17 @@
     Cut,
 }
 
-struct ReleasePlay {
+struct RolloutSimulation {
     processes: usize,
     per_s: u64,
     endpoints: usize,
-    kind: BadKind,
-    trouble: Trouble,
+    kind: VersionFault,
+    disturbance: Disturbance,
     seed: u64,
 }
 
 #[derive(Debug, Default)]
-struct Played {
+struct SimulationResult {
     requests: u64,
     exposed: u64,
     bad_answers: u64,
@@ -87,9 +87,9 @@
     cut: usize,
 }
 
-struct PlayProcess {
+struct SimulatedProcess {
     id: InstanceId,
-    book: ReleaseBook,
+    book: VersionRouter,
     gate: PoolGate,
     outbox: BTreeMap<(bool, usize, &'static str), EvidenceTally>,
     sent: u64,
@@ -118,12 +118,12 @@
 
 impl Collector {
     /// Hands out requests of the version to a process.
-    fn allot(&mut self, one: &mut PlayProcess, processes: usize, now: ClockTime) {
+    fn allot(&mut self, one: &mut SimulatedProcess, processes: usize, now: ClockTime) {
         let account = exposure_account(&service(), "v2");
         let bond = one.gate.bond(now);
         self.ledger.note_member(&one.id, bond, (TimeSpan(60_400), now));
         let limit = exposure_limit(self.plan.most(self.sent));
-        let claim = one.gate.claim(&account, TRIED_HELD, now);
+        let claim = one.gate.claim(&account, TRIAL_GRANTS, now);
         let spender = PoolSpender { instance: one.id.clone(), life: 1 };
         let known = (&limit, processes as u32);
         if let Ok(allotment) = self.ledger.claim(&account, known, (&spender, &claim), now) {
@@ -144,11 +144,11 @@
     ListedVersion { version: version.into(), revision, life: 0 }
 }
 
-fn process(at: usize) -> PlayProcess {
-    let mut book = ReleaseBook::default();
-    book.hear(&ReleaseNews { mark: 5, ..ReleaseNews::default() }, TimeSpan(0), START);
-    book.note_versions(&service(), &[listed("v1", 5)], START);
-    PlayProcess {
+fn process(at: usize) -> SimulatedProcess {
+    let mut book = VersionRouter::default();
+    book.apply_news(&OrderNews { mark: 5, ..OrderNews::default() }, TimeSpan(0), START);
+    book.update_versions(&service(), &[listed("v1", 5)], START);
+    SimulatedProcess {
         id: format!("front-{at}").as_str().into(),
         book,
         gate: PoolGate::default(),
@@ -158,7 +158,7 @@
     }
 }
 
-impl ReleasePlay {
+impl RolloutSimulation {
     fn fails(
         &self,
         tried: bool,
@@ -166,42 +166,42 @@
         (ms, lot, load): (u64, u64, usize),
     ) -> bool {
         let percent = lot % 100;
-        let common = match self.trouble {
-            Trouble::AllFail if (5000..9000).contains(&ms) => percent < 45,
-            Trouble::SomeFail if endpoint.is_multiple_of(7) => percent < 45,
+        let common = match self.disturbance {
+            Disturbance::AllFail if (5000..9000).contains(&ms) => percent < 45,
+            Disturbance::SomeFail if endpoint.is_multiple_of(7) => percent < 45,
             _ => percent < 1,
         };
         let own = tried
             && match self.kind {
-                BadKind::Fails { percent: part, from_ms } => ms >= from_ms && percent < part,
-                BadKind::OnRoute => route == ROUTES[2] && percent < 50,
-                BadKind::UnderLoad => load >= 3 && percent < 50,
-                BadKind::Good | BadKind::Slow { .. } => false,
+                VersionFault::Fails { percent: part, from_ms } => ms >= from_ms && percent < part,
+                VersionFault::OnRoute => route == ROUTES[2] && percent < 50,
+                VersionFault::UnderLoad => load >= 3 && percent < 50,
+                VersionFault::Good | VersionFault::Slow { .. } => false,
             };
         common || own
     }
 
     fn is_cut(&self, process: usize, ms: u64) -> bool {
         let time = (5000..8000).contains(&ms);
-        self.trouble == Trouble::Cut && process.is_multiple_of(2) && time
+        self.disturbance == Disturbance::Cut && process.is_multiple_of(2) && time
     }
 
     fn slowness(&self, tried: bool, ms: u64) -> u64 {
         match self.kind {
-            BadKind::Slow { from_ms } if tried && ms >= from_ms => 4,
+            VersionFault::Slow { from_ms } if tried && ms >= from_ms => 4,
             _ => 1,
         }
     }
 
-    fn run(&self) -> Played {
-        let mut played = Played::default();
+    fn run(&self) -> SimulationResult {
+        let mut result = SimulationResult::default();
         let mut random = mix_bits(self.seed);
         let mut draw = |most: u64| {
             random = mix_bits(random.wrapping_add(0x9e37_79b9));
             random % most
         };
-        let mut processes: Vec<PlayProcess> = (0..self.processes).map(process).collect();
-        let begin = |told: Option<&ReleaseTold>, past, source, now| Collector {
+        let mut processes: Vec<SimulatedProcess> = (0..self.processes).map(process).collect();
+        let begin = |told: Option<&OrderStatus>, past, source, now| Collector {
             plan: ReleasePlan::begin(order(), (BOUNDS, None), told, now),
             ledger: PoolLedger::begin(source, past, now),
             sent: told.map_or(0.0, |told| told.sent as f64),
@@ -213,14 +213,17 @@
         let trials = (self.endpoints as f64 * SHARE).ceil().max(3.0) as usize;
         for ms in 0..ORDER_MS + 6000 {
             let now = START + TimeSpan(ms);
-            if ms == 4000 && self.trouble == Trouble::CollectorKilled {
+            if ms == 4000 && self.disturbance == Disturbance::CollectorKilled {
                 let told = processes[1].book.news(now).told;
                 let windows = processes[1].gate.known_windows(now);
                 let past = LedgerPast::Told { windows, lasts: TimeSpan(1200) };
                 collector = begin(told.first(), past, 2, now);
             }
-            let times =
-                if self.trouble == Trouble::Jump && (6000..9000).contains(&ms) { 6 } else { 1 };
+            let times = if self.disturbance == Disturbance::Jump && (6000..9000).contains(&ms) {
+                6
+            } else {
+                1
+            };
             let mut due = self.per_s * times;
             while due > 0 {
                 let now_due = due.min(1000);
@@ -238,7 +241,8 @@
                 let expected = length * hint / 100;
                 let lot = draw(1_000_000) as f64 / 1e6;
                 let one = &mut processes[at];
-                let paid = one.book.paid_from(&service(), (lot, SHARE), (TimeSpan(expected), now));
+                let paid =
+                    one.book.paying_account(&service(), (lot, SHARE), (TimeSpan(expected), now));
                 let mut is_paid =
                     paid.as_ref().is_some_and(|account| one.gate.spend(account, 1, now));
                 if !is_paid
@@ -249,7 +253,7 @@
                     collector.allot(one, self.processes, now);
                     is_paid = one.gate.spend(&exposure_account(&service(), "v2"), 1, now);
                 }
-                let lane = if is_paid { RequestLane::Tried } else { RequestLane::Serving };
+                let lane = if is_paid { VersionLane::Trial } else { VersionLane::Serving };
                 let takes =
                     |version: &str| one.book.takes((&service(), &version.into()), lane, now);
                 let tried = takes("v2");
@@ -277,30 +281,30 @@
                     Running { process: at, tried, endpoint, route, ends_ms, first_ms, sample };
                 running.push(run);
                 if ms < ORDER_MS {
-                    played.requests += 1;
-                    played.exposed += u64::from(tried);
+                    result.requests += 1;
+                    result.exposed += u64::from(tried);
                 }
                 if tried && collector.plan.stage() != ReleaseStage::Completed {
-                    played.last_exposed_at = ms;
+                    result.last_exposed_at = ms;
                 }
             }
-            self.end_requests(&mut running, (&mut processes, &mut played), ms);
+            self.end_requests(&mut running, (&mut processes, &mut result), ms);
             for at in 0..self.processes {
                 if !self.is_cut(at, ms) && (ms + at as u64 * 37).is_multiple_of(REPORT_MS) {
                     self.report((&mut processes[at], at), &mut collector, &running, now);
                 }
             }
             if ms.is_multiple_of(100) {
-                self.step(&mut collector, (&running, &mut played), now);
+                self.step(&mut collector, (&running, &mut result), now);
             }
         }
-        played
+        result
     }
 
     fn end_requests(
         &self,
         running: &mut Vec<Running>,
-        (processes, played): (&mut [PlayProcess], &mut Played),
+        (processes, result): (&mut [SimulatedProcess], &mut SimulationResult),
         ms: u64,
     ) {
         for run in running.iter_mut().filter(|run| run.first_ms <= ms) {
@@ -309,10 +313,10 @@
             processes[run.process].outbox.entry(key).or_default().note(sample);
             let slow = matches!(sample, AnswerSample::Came { took, .. } if took.0 > 150);
             if run.tried && (sample == AnswerSample::Failed || slow) {
-                played.bad_answers += 1;
-                match played.bad_answers {
-                    10 => played.tenth_bad_at = Some(ms),
-                    50 => played.fiftieth_bad_at = Some(ms),
+                result.bad_answers += 1;
+                match result.bad_answers {
+                    10 => result.tenth_bad_at = Some(ms),
+                    50 => result.fiftieth_bad_at = Some(ms),
                     _ => {}
                 }
             }
@@ -322,7 +326,7 @@
 
     fn report(
         &self,
-        (one, at): (&mut PlayProcess, usize),
+        (one, at): (&mut SimulatedProcess, usize),
         collector: &mut Collector,
         running: &[Running],
         now: ClockTime,
@@ -330,8 +334,8 @@
         for ((tried, endpoint, route), tally) in std::mem::take(&mut one.outbox) {
             let case = &mut collector.plan.case;
             match tried {
-                true => case.note_tried(&route.into(), &format!("i-{endpoint}").into(), &tally),
-                false => case.note_serving(&route.into(), &tally, now),
+                true => case.record_trial(&route.into(), &format!("i-{endpoint}").into(), &tally),
+                false => case.record_serving(&route.into(), &tally, now),
             }
         }
         let new = one.sent - one.told_sent;
@@ -345,15 +349,15 @@
         let follows = one.book.followed().first().map_or(0, |(_, number)| *number);
         collector.acked.insert(at, (follows, now, !left_behind));
         let told = vec![collector.plan.told(collector.sent as u64, now)];
-        let news = ReleaseNews { mark: 10, told, held: Vec::new() };
-        one.book.hear(&news, TimeSpan(0), now);
-        one.book.note_versions(&service(), &[listed("v1", 5), listed("v2", 9)], now);
+        let news = OrderNews { mark: 10, told, held: Vec::new() };
+        one.book.apply_news(&news, TimeSpan(0), now);
+        one.book.update_versions(&service(), &[listed("v1", 5), listed("v2", 9)], now);
     }
 
     fn step(
         &self,
         collector: &mut Collector,
-        (running, played): (&[Running], &mut Played),
+        (running, result): (&[Running], &mut SimulationResult),
         now: ClockTime,
     ) {
         let number = collector.plan.number();
@@ -368,75 +372,75 @@
         };
         let account = exposure_account(&service(), "v2");
         let handed = collector.ledger.windows().find(|(name, _)| **name == account);
-        let facts = PlanFacts {
+        let facts = PlanInputs {
             sent: collector.sent,
             rate_per_s: collector.rate,
             handed: handed.map_or(0.0, |(_, stand)| (stand.spent + stand.open) as f64),
-            tried_live: self.endpoints,
+            trial_endpoints: self.endpoints,
             is_left,
         };
         collector.plan.step(&facts, now);
         let ms = (now - START).0;
         match collector.plan.stage() {
-            ReleaseStage::Completed if !played.completed => {
-                played.completed = true;
-                played.decided_at = Some(ms);
-                played.cut = running.iter().filter(|run| !run.tried).count();
+            ReleaseStage::Completed if !result.completed => {
+                result.completed = true;
+                result.decided_at = Some(ms);
+                result.cut = running.iter().filter(|run| !run.tried).count();
             }
-            ReleaseStage::RolledBack(reason) if played.rolled_back.is_none() => {
-                played.rolled_back = Some(reason);
-                played.decided_at = Some(ms);
+            ReleaseStage::RolledBack(reason) if result.rolled_back.is_none() => {
+                result.rolled_back = Some(reason);
+                result.decided_at = Some(ms);
             }
             _ => {}
         }
     }
 }
 
-impl Played {
+impl SimulationResult {
     fn bound(&self) -> f64 {
         SHARE * self.requests as f64 + SLACK
     }
 }
 
-fn play(kind: BadKind, trouble: Trouble, seed: u64) -> ReleasePlay {
-    ReleasePlay { processes: 60, per_s: 700, endpoints: 71, kind, trouble, seed }
+fn simulation(kind: VersionFault, disturbance: Disturbance, seed: u64) -> RolloutSimulation {
+    RolloutSimulation { processes: 60, per_s: 700, endpoints: 71, kind, disturbance, seed }
 }
 
-const TROUBLES: [Trouble; 6] = [
-    Trouble::Calm,
-    Trouble::AllFail,
-    Trouble::SomeFail,
-    Trouble::CollectorKilled,
-    Trouble::Jump,
-    Trouble::Cut,
+const DISTURBANCES: [Disturbance; 6] = [
+    Disturbance::Calm,
+    Disturbance::AllFail,
+    Disturbance::SomeFail,
+    Disturbance::CollectorKilled,
+    Disturbance::Jump,
+    Disturbance::Cut,
 ];
 
-const BAD_KINDS: [BadKind; 8] = [
-    BadKind::Fails { percent: 20, from_ms: 0 },
-    BadKind::Fails { percent: 50, from_ms: 0 },
-    BadKind::Fails { percent: 50, from_ms: 5000 },
-    BadKind::Fails { percent: 100, from_ms: 11_300 },
-    BadKind::Slow { from_ms: 0 },
-    BadKind::Slow { from_ms: 8000 },
-    BadKind::OnRoute,
-    BadKind::UnderLoad,
+const VERSION_FAULTS: [VersionFault; 8] = [
+    VersionFault::Fails { percent: 20, from_ms: 0 },
+    VersionFault::Fails { percent: 50, from_ms: 0 },
+    VersionFault::Fails { percent: 50, from_ms: 5000 },
+    VersionFault::Fails { percent: 100, from_ms: 11_300 },
+    VersionFault::Slow { from_ms: 0 },
+    VersionFault::Slow { from_ms: 8000 },
+    VersionFault::OnRoute,
+    VersionFault::UnderLoad,
 ];
 
-/// How many seeds of each play CI runs.
+/// How many seeds of each simulation CI runs.
 const SEEDS: u64 = 1;
 
 /// Callers of a tenth of the requests and more get answers of a bad version.
 #[test]
 fn a_bad_version_gets_no_more_than_its_bound() {
-    for kind in BAD_KINDS {
-        for trouble in TROUBLES {
+    for kind in VERSION_FAULTS {
+        for disturbance in DISTURBANCES {
             for seed in seeds(SEEDS) {
-                let played = play(kind, trouble, seed).run();
+                let result = simulation(kind, disturbance, seed).run();
 
-                let told = format!("{kind:?} {trouble:?} {seed}: {played:?}");
-                assert!(played.exposed as f64 <= played.bound(), "{told}");
-                if let Some(at) = played.fiftieth_bad_at.filter(|_| played.rolled_back.is_some()) {
-                    assert!(played.last_exposed_at <= at + ROLLBACK.0, "{told}");
+                let told = format!("{kind:?} {disturbance:?} {seed}: {result:?}");
+                assert!(result.exposed as f64 <= result.bound(), "{told}");
+                if let Some(at) = result.fiftieth_bad_at.filter(|_| result.rolled_back.is_some()) {
+                    assert!(result.last_exposed_at <= at + ROLLBACK.0, "{told}");
                 }
             }
         }
@@ -448,15 +452,16 @@
 #[test]
 fn a_bad_version_gets_no_more_than_its_bound_at_nine_and_at_195_processes() {
     for (processes, per_s, endpoints) in [(9, 105, 11), (195, 2275, 230)] {
-        for (kind, trouble) in BAD_KINDS.into_iter().zip(TROUBLES) {
+        for (kind, disturbance) in VERSION_FAULTS.into_iter().zip(DISTURBANCES) {
             for seed in seeds(SEEDS) {
-                let play = ReleasePlay { processes, per_s, endpoints, kind, trouble, seed };
+                let simulation =
+                    RolloutSimulation { processes, per_s, endpoints, kind, disturbance, seed };
 
-                let played = play.run();
+                let result = simulation.run();
 
-                let told = format!("{processes} {kind:?} {trouble:?} {seed}: {played:?}");
-                assert!(played.exposed as f64 <= played.bound(), "{told}");
-                assert!(played.rolled_back.is_some() || !shows(kind, trouble), "{told}");
+                let told = format!("{processes} {kind:?} {disturbance:?} {seed}: {result:?}");
+                assert!(result.exposed as f64 <= result.bound(), "{told}");
+                assert!(result.rolled_back.is_some() || !shows(kind, disturbance), "{told}");
             }
         }
     }
@@ -464,19 +469,24 @@
 
 /// Whether a version shows in its time that it is bad. One that turns bad at the last moment does not; while half of the
 /// requests fail at the other version as well, a few more are taken for chance.
-fn shows(kind: BadKind, trouble: Trouble) -> bool {
-    !matches!(kind, BadKind::Fails { from_ms: 11_300, .. }) && trouble != Trouble::AllFail
+fn shows(kind: VersionFault, disturbance: Disturbance) -> bool {
+    !matches!(kind, VersionFault::Fails { from_ms: 11_300, .. })
+        && disturbance != Disturbance::AllFail
 }
 
 /// A bad version is completed: the endpoints that served stop, and callers have only bad ones left.
 #[test]
 fn a_version_that_shows_that_it_is_bad_is_rolled_back() {
-    for kind in BAD_KINDS {
-        for trouble in TROUBLES.into_iter().filter(|trouble| shows(kind, *trouble)) {
+    for kind in VERSION_FAULTS {
+        for disturbance in DISTURBANCES.into_iter().filter(|disturbance| shows(kind, *disturbance))
+        {
             for seed in seeds(SEEDS) {
-                let played = play(kind, trouble, seed).run();
+                let result = simulation(kind, disturbance, seed).run();
 
-                assert!(played.rolled_back.is_some(), "{kind:?} {trouble:?} {seed}: {played:?}");
+                assert!(
+                    result.rolled_back.is_some(),
+                    "{kind:?} {disturbance:?} {seed}: {result:?}"
+                );
             }
         }
     }
@@ -486,39 +496,39 @@
 /// version, whose endpoints stop at once.
 #[test]
 fn a_good_version_is_completed_and_cuts_nothing() {
-    for trouble in TROUBLES {
+    for disturbance in DISTURBANCES {
         for seed in seeds(SEEDS) {
-            let played = play(BadKind::Good, trouble, seed).run();
+            let result = simulation(VersionFault::Good, disturbance, seed).run();
 
-            let told = format!("{trouble:?} {seed}: {played:?}");
-            assert!(played.completed, "{told}");
-            assert_eq!(played.cut, 0, "{told}");
-            println!("{trouble:?} {seed}: completed at {:?} ms", played.decided_at);
+            let told = format!("{disturbance:?} {seed}: {result:?}");
+            assert!(result.completed, "{told}");
+            assert_eq!(result.cut, 0, "{told}");
+            println!("{disturbance:?} {seed}: completed at {:?} ms", result.decided_at);
         }
     }
 }
 
 /// A good version is completed too late: its operators wait, or take it for bad.
 #[test]
-fn a_good_version_is_completed_in_its_time_on_a_calm_day() {
+fn a_good_version_is_completed_in_time_without_disturbance() {
     for seed in seeds(SEEDS) {
-        let played = play(BadKind::Good, Trouble::Calm, seed).run();
+        let result = simulation(VersionFault::Good, Disturbance::Calm, seed).run();
 
-        assert!(played.decided_at.is_some_and(|at| at <= ORDER_MS), "{seed}: {played:?}");
+        assert!(result.decided_at.is_some_and(|at| at <= ORDER_MS), "{seed}: {result:?}");
     }
 }
 
-fn told(stage: ToldStage) -> ReleaseTold {
+fn told(stage: AnnouncedStage) -> OrderStatus {
     let ends_in = TimeSpan(ORDER_MS);
-    ReleaseTold { service: service(), to: "v2".into(), stage, number: 1, ends_in, sent: 0 }
+    OrderStatus { service: service(), to: "v2".into(), stage, number: 1, ends_in, sent: 0 }
 }
 
 /// A version under an order gets requests that nobody handed out, in whatever order a process hears of its endpoints, of the
 /// order, of an older state of the orders, and of the order's end.
 #[test]
-fn a_version_under_an_order_serves_in_no_order_of_news() {
+fn a_version_under_trial_never_serves_whatever_the_order_of_news() {
     arbtest(|u| {
-        let mut book = ReleaseBook::default();
+        let mut book = VersionRouter::default();
         let mut now = START;
         let (mut known, mut is_ordered) = (0, false);
         for _ in 0..u.int_in_range(1..=20_usize)? {
@@ -526,19 +536,20 @@
             if u.ratio(1, 2)? {
                 let mark = u.int_in_range(1..=30_u64)?;
                 // The order was written as of 10, before the endpoints of its version.
-                let stage = if u.ratio(1, 3)? { ToldStage::Back } else { ToldStage::Trying };
+                let stage =
+                    if u.ratio(1, 3)? { AnnouncedStage::Back } else { AnnouncedStage::Trying };
                 let orders = if mark >= 10 { vec![told(stage)] } else { Vec::new() };
-                let news = ReleaseNews { mark, told: orders, held: Vec::new() };
-                book.hear(&news, TimeSpan(0), now);
+                let news = OrderNews { mark, told: orders, held: Vec::new() };
+                book.apply_news(&news, TimeSpan(0), now);
                 known = known.max(mark);
                 is_ordered |= mark >= 10;
             }
             let former = listed("v1", 5);
             let tried = listed("v2", u.int_in_range(11..=30)?);
-            book.note_versions(&service(), &[former, tried], now);
+            book.update_versions(&service(), &[former, tried], now);
 
             let takes = |version: &str| {
-                book.takes((&service(), &version.into()), RequestLane::Serving, now)
+                book.takes((&service(), &version.into()), VersionLane::Serving, now)
             };
             assert!(!takes("v2"), "as of {known}, ordered {is_ordered}");
             assert!(known < 5 || takes("v1"), "as of {known}");
@@ -549,7 +560,7 @@
 
 /// The bound is passed by how the demand goes: it falls to nothing, or grows many times, after the moment was set.
 #[test]
-fn no_more_is_handed_out_or_planned_than_the_bound_allows() {
+fn grants_never_exceed_the_bound() {
     arbtest(|u| {
         let mut plan = ReleasePlan::begin(order(), (BOUNDS, None), None, START);
         let (mut sent, mut handed) = (0.0_f64, 0.0_f64);
@@ -559,7 +570,8 @@
             sent += rate / 10.0;
             // All that may be handed out is.
             handed = handed.max(plan.most(sent));
-            let facts = PlanFacts { sent, rate_per_s: rate, handed, tried_live: 4, is_left: false };
+            let facts =
+                PlanInputs { sent, rate_per_s: rate, handed, trial_endpoints: 4, is_left: false };
             plan.step(&facts, now);
             assert!(handed <= SHARE * sent + SLACK || plan.stage() != ReleaseStage::Trying);
         }
--- a/tests/all/rollout.rs
+++ b/tests/all/rollout.rs
@@ -165,7 +165,7 @@
 
 /// A version that fails a third of its requests gets full traffic the moment its endpoints are listed.
 #[test]
-fn a_version_that_fails_is_rolled_back_and_got_a_few_requests() {
+fn a_failing_version_is_rolled_back_after_a_few_requests() {
     play(async {
         let rollout = Rollout::start().await;
         let before = rollout.callers.asked.get();
@@ -245,7 +245,7 @@
 
 /// Callers are refused for a while after all processes were killed: a process that begins knows no version that serves.
 #[test]
-fn a_process_that_begins_serves_at_once() {
+fn a_restarted_process_serves_at_once() {
     play(async {
         let mut rollout = Rollout::start().await;
         let all: Vec<usize> = (0..PROCESSES).collect();
@@ -264,7 +264,7 @@
 
 /// A version that was held back when its order was withdrawn serves nobody for good, though a later order was completed.
 #[test]
-fn a_version_that_is_ordered_again_goes_by_its_new_order() {
+fn a_version_that_is_ordered_again_follows_its_new_order() {
     play(async {
         let rollout = Rollout::start().await;
         rollout.group.order_release("v2", ORDER_S);
@@ -302,7 +302,7 @@
 
 /// A roll-out stands still, or its version gets more than it may, because the process that carries it out is killed.
 #[test]
-fn the_next_collector_goes_on_with_an_order() {
+fn the_next_collector_continues_an_order() {
     play(async {
         let mut rollout = Rollout::start().await;
         let before = rollout.callers.asked.get();
