--- a/crates/release/src/comparison.rs
+++ b/crates/release/src/comparison.rs
@@ -1,51 +1,57 @@
-//! Whether a version answers worse than the one that serves.
+//! Statistical comparison of a new version's answers with those of the serving version.
 //!
-//! A sequential test by route: each failure and each late answer of the version adds to its endpoint's score, each good answer
-//! takes off, by how likely it is of a bad version and of one that is as good as the other. Scores fade, so that a version
-//! that turns bad late is found nearly as soon as one that is bad from the start. What the other version's callers get at the
-//! same time is the measure: a fault that hits both is no sign. The worst quarter of the endpoints is left out: a few bad
-//! endpoints are no bad version.
+//! A sequential test for each route: each failure and each late answer of the new version raises
+//! the score of its endpoint, and each good answer lowers it, by the log-likelihood ratio of a bad
+//! version and one that equals the serving one. Scores decay, so that a version that degrades late
+//! is found nearly as soon as one that is bad from the start. The baseline is what callers of the
+//! serving version get at the same time, so a fault that hits both versions is no evidence. The
+//! worst quarter of the endpoints is left out, because a few bad endpoints do not make a bad
+//! version.
 
 use compact_str::CompactString;
 use oleander_judge::EvidenceTally;
 use oleander_kind::{ClockTime, TimeSpan};
 use std::collections::BTreeMap;
 
-/// The score from which a version is bad: by chance a sound one gets there once in some 160,000 answers.
+/// The score from which a version is bad; a sound one reaches it by chance once in about 160,000
+/// answers.
 const BAD_VERSION_SCORE: f64 = 12.0;
-/// How far good answers of one endpoint can speak for it.
+/// Lower bound of an endpoint's score, which limits how much good answers can offset.
 const MIN_SCORE: f64 = -2.0;
-/// Half of a score counts no more after this time.
+/// Half-life of a score.
 const SCORE_HALF_LIFE: TimeSpan = TimeSpan(4000);
-/// One in so many endpoints, the worst ones, is left out.
+/// One in this many endpoints, the worst ones, is left out.
 const OUTLIER_DIVISOR: usize = 4;
-/// The part of its answers that a bad version fails more than the other, at the least.
+/// The least by which the failure rate of a bad version exceeds the baseline.
 const MIN_EXCESS_RATE: f64 = 0.2;
-/// The same as a part of what fails at the other: where half fails anyway, a few more are chance.
+/// Added to that, as a fraction of the baseline: where half of the requests fail anyway, a small
+/// excess is chance.
 const EXCESS_FACTOR: f64 = 0.4;
-/// Where more fails at the other version than this part, it is taken for this part.
+/// Upper bound of the baseline failure rate.
 const MAX_BASELINE_RATE: f64 = 0.5;
-/// Where hardly any answer of the other version fails, this part is taken for chance.
+/// Lower bound of the baseline failure rate, so that a rare failure counts as chance.
 const MIN_BASELINE_RATE: f64 = 0.01;
-/// How much slower a bad version is, in powers of two, at the least: twice as slow.
+/// The least by which a bad version is slower, in powers of two: twice as slow.
 const MIN_SLOWDOWN_LOG2: f64 = 1.0;
-/// Answers of the other version that its part of failures is blended with while it has few.
+/// Weight, in answers, of the prior with which the baseline is blended while it has few answers.
 const PRIOR_WEIGHT: f64 = 10.0;
-/// Half of what is known of the other version counts no more after these times. The worse of the two counts: a fault that
-/// begins at both shows in the quick one as soon as in the answers of the version tried.
+/// Half-lives of the baseline. The worse of the two counts: a fault that begins at both versions
+/// shows in the quick baseline as soon as in the answers of the new version.
 const BASELINE_HALF_LIVES: [TimeSpan; 2] = [TimeSpan(1500), TimeSpan(250)];
-/// Answers without which a version is not taken for sound: one that fails a fifth is still unseen after as many once in 200 times.
+/// Answers needed before a version can be found sound; a version that fails a fifth of them shows
+/// no failure in as many once in 200 times.
 const MIN_ANSWERS: f64 = 24.0;
 /// The same on each route that has at least [`MAIN_ROUTE_FRACTION`] of the answers.
 const MIN_ANSWERS_PER_ROUTE: f64 = 8.0;
 const MAIN_ROUTE_FRACTION: f64 = 0.1;
-/// Above this score a version is not taken for sound.
+/// A version with a higher score is not found sound.
 const MAX_SOUND_SCORE: f64 = 2.0;
-/// While more than this part fails at the version that serves, nothing is taken for sound by comparison with it.
+/// No version is found sound while the failure rate of the serving version exceeds this.
 const MAX_SOUND_BASELINE_RATE: f64 = 0.3;
-/// From so many failures on a version is also judged by all that it answered since the order.
+/// Failures from which on a version is also judged by its total failure rate since the order.
 const MIN_TOTAL_FAILURES: f64 = 30.0;
-/// By how much larger a part of its answers must have failed then, and by how many standard deviations of chance.
+/// Margin by which that total rate must exceed the baseline, in addition to this many standard
+/// deviations.
 const TOTAL_MARGIN: f64 = 0.08;
 const TOTAL_DEVIATIONS: f64 = 3.0;
 
@@ -113,13 +119,13 @@
 
 #[derive(Clone, Debug, Default)]
 struct RouteComparison {
-    /// What callers of the version that serves get, by [`BASELINE_HALF_LIVES`].
+    /// Answers of the serving version, one sum for each of [`BASELINE_HALF_LIVES`].
     baseline: [DecayedSum; 2],
-    /// Answers of both versions since the order, and failures among them.
+    /// Answers and failures of both versions since the order.
     baseline_total: AnswerTotals,
     trial_total: AnswerTotals,
     scores: BTreeMap<CompactString, EndpointScore>,
-    /// What came since the last evaluate.
+    /// Answers received since the last evaluation.
     pending: Vec<(CompactString, EvidenceTally)>,
 }
 
@@ -155,7 +161,7 @@
         }
     }
 
-    /// The score of the version: of all its endpoints but the worst ones.
+    /// Returns the score of the version: the sum over its endpoints without the worst ones.
     fn score(&self, now: ClockTime) -> f64 {
         let sum = |of: fn(&EndpointScore) -> f64| -> f64 {
             let mut scores: Vec<f64> =
@@ -167,8 +173,8 @@
         f64::max(sum(|score| score.fails), sum(|score| score.slow))
     }
 
-    /// Whether it failed more since the order than chance explains. Scores fade, and where little is asked a version that is
-    /// not much worse would never get far enough.
+    /// Whether its total failure rate exceeds what chance explains. Scores decay, so under low load
+    /// a version that is only slightly worse would never reach the bound.
     fn total_rate_is_bad(&self) -> bool {
         let (tried, baseline) = (&self.trial_total, &self.baseline_total);
         let baseline_value = baseline.failure_rate().max(MIN_BASELINE_RATE);
@@ -177,7 +183,7 @@
         tried.failed >= MIN_TOTAL_FAILURES && tried.failure_rate() > bound
     }
 
-    /// Whether the version that serves is itself in trouble.
+    /// Whether the serving version itself has a high failure rate.
     fn baseline_is_failing(&self, now: ClockTime) -> bool {
         let sums = self.baseline.iter().zip(BASELINE_HALF_LIVES);
         let parts = sums.map(|(sum, life)| sum.decayed(life, now).failure_rate());
@@ -185,7 +191,7 @@
     }
 }
 
-/// What callers got of a version and of the one that serves, by route.
+/// Answers of a new version and of the serving version, by route.
 #[derive(Clone, Debug, Default)]
 pub struct VersionComparison {
     routes: BTreeMap<CompactString, RouteComparison>,
@@ -193,12 +199,12 @@
 }
 
 impl VersionComparison {
-    /// Takes answers of an endpoint of the version that serves.
+    /// Adds answers of an endpoint of the serving version.
     pub fn record_serving(&mut self, route: &CompactString, tally: &EvidenceTally, now: ClockTime) {
         self.routes.entry(route.clone()).or_default().record_serving(tally, now);
     }
 
-    /// Takes answers of an endpoint of the version that is tried.
+    /// Adds answers of an endpoint of the version under trial.
     pub fn record_trial(
         &mut self,
         route: &CompactString,
@@ -209,19 +215,19 @@
         case.pending.push((endpoint.clone(), *tally));
     }
 
-    /// Judges what came since the last evaluate by what the baseline version's callers got until now.
+    /// Scores the answers received since the last evaluation against the current baseline.
     pub fn evaluate(&mut self, now: ClockTime) {
         self.routes.values_mut().for_each(|case| case.evaluate(now));
         self.evaluated_at = now;
     }
 
-    /// Whether the version is bad on some route.
+    /// Whether the version is bad on any route.
     pub fn is_bad(&self) -> bool {
         self.score() >= BAD_VERSION_SCORE
             || self.routes.values().any(RouteComparison::total_rate_is_bad)
     }
 
-    /// Whether enough was seen of it, on each main route, and nothing speaks against it.
+    /// Whether every main route has enough answers and nothing indicates a fault.
     pub fn is_sound(&self) -> bool {
         let all: f64 = self.routes.values().map(|case| case.baseline_total.seen).sum();
         let is_main =
@@ -234,12 +240,12 @@
         is_clear && self.seen() >= MIN_ANSWERS && self.score() <= MAX_SOUND_SCORE
     }
 
-    /// Answers that were seen of it.
+    /// Returns the number of answers of the version under trial.
     pub fn seen(&self) -> f64 {
         self.routes.values().map(|case| case.trial_total.seen).sum()
     }
 
-    /// The highest score of a route, as of the last evaluate.
+    /// Returns the highest score of any route as of the last evaluation.
     pub fn score(&self) -> f64 {
         let scores = self.routes.values().map(|case| case.score(self.evaluated_at));
         scores.fold(f64::MIN, f64::max)
--- a/crates/release/src/exposure.rs
+++ b/crates/release/src/exposure.rs
@@ -1,51 +1,55 @@
-//! How many requests a version may get before it is proved.
+//! Bounds on the requests that a version may get before it is proven.
 //!
-//! They are handed out by the ledger that hands out the limits of client accounts, as an account of its own whose
-//! limit grows with the requests that the service gets. So the bound holds for any demand, any age or loss of news, and any
-//! change or end of the process that keeps the ledger, for the reasons that limits hold.
+//! The requests are granted by the ledger that enforces the limits of client accounts, as an
+//! account of its own whose limit grows with the requests of the service. The bound therefore holds
+//! for any demand, any delay or loss of news, and any change or failure of the process that keeps
+//! the ledger, just as those limits do.
 
 use oleander_kind::{AccountName, ServiceName, TimeSpan};
 use oleander_limit::PoolLimit;
 
-/// Requests that a process should hold while a version is trial_bound.
+/// Grants that each process should hold while a version is under trial.
 pub const TRIAL_GRANTS: u64 = 1;
 
-/// The operators' bounds.
+/// The bounds set by the operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureBounds {
-    /// The part of a service's requests that a bad version may get.
+    /// The fraction of a service's requests that a bad version may get.
     pub share: f64,
-    /// Requests that it may get besides.
+    /// Requests that it may get in addition.
     pub slack: f64,
 }
 
-/// What a version gets before it looks sound, as a part of its bound: enough to judge by; the rest is left for moving.
+/// The fraction of the bound available before a version is found sound: enough to judge it; the
+/// rest is kept for the move.
 const TRIAL_FRACTION: f64 = 0.15;
-/// The part of the slack that is used. The rest is for what is counted at another moment than it arrives.
+/// The fraction of the slack that is used. The rest covers requests that are counted at another
+/// time than they arrive.
 const SLACK_FRACTION: f64 = 0.9;
-/// The part of the slack that is used before a version looks sound.
+/// The fraction of the slack used before a version is found sound.
 const TRIAL_SLACK_FRACTION: f64 = 0.4;
-/// Longer than any order that matters: what was handed out counts until its order is decided.
+/// Longer than any order that matters, so that grants count until the order is decided.
 const GRANT_WINDOW: TimeSpan = TimeSpan::secs(60);
 
 impl ExposureBounds {
-    /// Requests that a version may get, of `sent` ones since the order, before it looks sound.
+    /// Requests that a version may get before it is found sound, of `sent` requests since the
+    /// order.
     pub fn trial_bound(&self, sent: f64) -> f64 {
         self.share * TRIAL_FRACTION * sent + self.slack * TRIAL_SLACK_FRACTION
     }
 
-    /// The same once it does.
+    /// Requests that it may get once it is found sound.
     pub fn move_bound(&self, sent: f64) -> f64 {
         self.share * sent + self.slack * SLACK_FRACTION
     }
 }
 
-/// The account of the ledger from which requests to a version are paid.
+/// Returns the ledger account that pays for requests to a version under trial.
 pub fn exposure_account(service: &ServiceName, to: &str) -> AccountName {
     format!("release:{service}:{to}").as_str().into()
 }
 
-/// The limit of that account.
+/// Returns the limit of that account.
 pub fn exposure_limit(most: f64) -> PoolLimit {
     PoolLimit {
         rate_per_s: 0.0,
--- a/crates/release/src/lib.rs
+++ b/crates/release/src/lib.rs
@@ -1,13 +1,14 @@
-//! Roll-outs of a service's software that cannot harm its callers.
+//! Roll-outs of new versions of a service with bounded harm to callers.
 //!
-//! An order asks that a service's requests move to endpoints of another version, which may be bad: from the start, later, under
-//! load, or on one route. Until it is proved a version gets no request that was not handed out ([`exposure_limit`]): a part of
-//! the service's requests, so that the bound holds whatever the version does. What callers get of it is compared with
-//! what they get of the version that serves ([`VersionComparison`]). [`ReleasePlan`] goes from the first request to the last:
-//! a version that looks sound is given the longest requests first, and all of them only when so little time is left that
+//! An order moves a service's requests to endpoints of another version, which may be bad: from the
+//! start, later, under load, or on one route. Until the version is proven it gets only requests
+//! granted by a ledger ([`exposure_limit`]), a fraction of the service's requests, so the bound
+//! holds whatever the version does. Its answers are compared with those of the serving version
+//! ([`VersionComparison`]). [`ReleasePlan`] controls the whole roll-out: a version that is found
+//! sound gets the longest requests first, and all requests only when so little time is left that
 //! the bound would hold even then.
 //!
-//! Everything here is a state machine over values; the store and the links are elsewhere.
+//! Everything here is a state machine over values; the store and the connections are elsewhere.
 
 mod comparison;
 mod exposure;
--- a/crates/release/src/order.rs
+++ b/crates/release/src/order.rs
@@ -1,47 +1,48 @@
-//! The operators' order.
+//! Roll-out orders given by operators.
 
 use compact_str::CompactString;
 use oleander_kind::{ResultCode, ServiceName, TimeSpan};
 use quick_error::quick_error;
 
-/// The longest order that is believed.
+/// The longest accepted duration of an order.
 const MAX_DURATION: TimeSpan = TimeSpan(24 * 3_600_000);
 
-/// That a service's requests move to endpoints of another version.
+/// An order to move a service's requests to endpoints of another version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReleaseOrder {
     /// The service.
     pub service: ServiceName,
     /// The version.
     pub to: CompactString,
-    /// Within which it has to be decided.
+    /// The time within which the order has to be decided.
     pub lasts: TimeSpan,
 }
 
-/// How an order stands.
+/// The state of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseState {
-    /// The version is tried.
+    /// The version is under trial.
     Running,
-    /// All requests go to the version; endpoints of the former one stop at once.
+    /// All requests go to the version; endpoints of the former version stop at once.
     Completed,
-    /// The version gets nothing any more.
+    /// The version gets no requests any more.
     RolledBack,
 }
 
-/// An order as the store has it.
+/// An order as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderEntry {
     /// The order.
     pub order: ReleaseOrder,
-    /// How it stands, and for which version that was written; none if nothing was.
+    /// The stored state and the version that it was written for; `None` if no state was written.
     pub state: Option<(ReleaseState, CompactString)>,
-    /// The revision of the object.
+    /// The store revision of the object.
     pub revision: u64,
 }
 
 impl OrderEntry {
-    /// How the order stands. What was written for another version is of an earlier order.
+    /// Returns the state of the order. A state written for another version belongs to an earlier
+    /// order.
     pub fn state(&self) -> Option<ReleaseState> {
         let own = self.state.as_ref().filter(|(_, to)| *to == self.order.to);
         own.map(|(state, _)| *state)
@@ -49,10 +50,10 @@
 }
 
 quick_error! {
-    /// Why an order cannot be carried out.
+    /// Reasons why an order cannot be carried out.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum OrderFault {
-        /// It cannot be read.
+        /// The order cannot be parsed.
         Unreadable {
             display("the order cannot be read")
         }
@@ -60,15 +61,15 @@
         UnknownService {
             display("no service of that name")
         }
-        /// Its time is none, or longer than a day.
+        /// Its duration is zero or longer than a day.
         BadTime {
             display("the time to decide in must be more than 0 and at most a day")
         }
-        /// It names no version, or the one that serves already.
+        /// It names no version, or the serving one.
         BadVersion {
             display("the version is empty, or serves already")
         }
-        /// The service or version was changed, or the order removed, before it was decided.
+        /// The order was removed, or its service or version changed, before it was decided.
         Withdrawn {
             display("the order was changed or removed before it was decided")
         }
@@ -76,7 +77,7 @@
 }
 
 impl OrderFault {
-    /// Its number in the table of result codes.
+    /// Returns the result code of the fault.
     pub fn code(self) -> ResultCode {
         match self {
             OrderFault::Unreadable => ResultCode::ReleaseUnreadable,
@@ -95,7 +96,7 @@
     /// Checks the order; `serving` are the versions whose endpoints take requests.
     ///
     /// # Errors
-    /// Why it cannot be carried out.
+    /// Returns the reason why it cannot be carried out.
     pub fn check(&self, is_known: bool, serving: &[&CompactString]) -> Result<()> {
         if !is_known {
             return Err(OrderFault::UnknownService);
--- a/crates/release/src/plan.rs
+++ b/crates/release/src/plan.rs
@@ -1,13 +1,15 @@
-//! The way of one order, from the first request to the last.
+//! The state machine of one roll-out, from the first request to the last.
 //!
-//! While a version is tried it gets what is handed out of a part of its bound. If it looks sound when half of its time is over, a
-//! moment is set from which it gets all: so late that the bound holds until the order's end whatever the version does, and told
-//! to all processes beforehand. Requests that would outlast that moment go to the version before it, and are handed out as
-//! well. Once no process has anything at the former version any more, and none can send there, the order is completed: its
-//! endpoints stop at once, and nothing is cut.
+//! While a version is under trial it gets requests from a fraction of its bound. If it is found
+//! sound after half of the order's time, the plan sets a cutover time from which the version gets
+//! all requests. The cutover is late enough that the bound holds until the end of the order
+//! whatever the version does, and all processes are told in advance. Requests that would run past
+//! the cutover go to the new version before it, and are paid for from the bound as well. Once no
+//! process has a request at the former version any more and none can send one there, the order is
+//! completed: the former endpoints stop at once, and no request is cut.
 //!
-//! A version on which too little was seen by its end is rolled back. Its order can be given again; a bad version that got all
-//! requests can't be taken back.
+//! A version with too few answers by the end of its order is rolled back. The order can be given
+//! again, whereas a bad version that got all requests cannot be taken back.
 
 use crate::comparison::VersionComparison;
 use crate::exposure::ExposureBounds;
@@ -15,74 +17,75 @@
 use crate::routing::{AnnouncedStage, OrderStatus};
 use oleander_kind::{ClockTime, TimeSpan};
 
-/// The part of an order's time after which a version may be moved to.
+/// The fraction of an order's time before which no move begins.
 const TRIAL_TIME_FRACTION: f64 = 0.5;
-/// An order is decided this long before its end at the latest, so that it is written in time.
+/// Margin before the end of an order in which it is decided at the latest, so that the result is
+/// written in time.
 const DECISION_MARGIN: TimeSpan = TimeSpan(500);
-/// The part of what is remaining_bound of the bound that is for all requests after the moment that is set; the rest is for those that
-/// would outlast it.
+/// The fraction of the remaining bound reserved for all requests after the cutover; the rest is for
+/// those that would run past it.
 const CUTOVER_FRACTION: f64 = 0.5;
-/// By how much the requests of the next seconds may be more, or fewer, than those of the last ones.
+/// Factor by which the request rate of the next seconds may differ from the last measured one.
 const RATE_MARGIN: f64 = 1.1;
-/// The longest time for which a version gets all before its order ends.
+/// The longest time between cutover and the end of the order.
 const MAX_FULL_TIME: TimeSpan = TimeSpan(3000);
-/// The shortest time in which all processes hear of the moment.
+/// The shortest time in which all processes learn of the cutover.
 const ANNOUNCE_TIME: TimeSpan = TimeSpan(800);
 
-/// Why a version was rolled back.
+/// Reasons for a roll-back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanReason {
     /// Its callers got worse answers.
     Bad,
-    /// Too little was seen of it in its time.
+    /// It had too few answers in its time.
     Undecided,
-    /// It has no endpoint any more.
+    /// It has no endpoints any more.
     Gone,
-    /// The order was withdrawn, or cannot be carried out.
+    /// The order was withdrawn or cannot be carried out.
     Withdrawn,
 }
 
-/// How far an order is.
+/// The stage of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseStage {
-    /// The version gets a part of the requests.
+    /// The version gets a share of the requests.
     Trying,
-    /// It gets all of them from a moment on.
+    /// The version gets all requests from the cutover on.
     Moving {
-        /// The moment.
+        /// The cutover time.
         full_at: ClockTime,
     },
-    /// It has all requests.
+    /// The version gets all requests.
     Completed,
-    /// It gets nothing.
+    /// The version gets no requests.
     RolledBack(PlanReason),
 }
 
-/// What a plan looks at.
+/// The observations that a step of the plan is based on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlanInputs {
-    /// Requests of the service that were sent since the order.
+    /// Requests of the service sent since the order.
     pub sent: f64,
-    /// The same a second.
+    /// Requests of the service per second.
     pub rate_per_s: f64,
-    /// Requests that were handed out to the version.
+    /// Requests granted to the version.
     pub handed: f64,
     /// Endpoints of the version that take requests.
     pub trial_endpoints: usize,
-    /// Whether every process goes by the plan and has nothing at the former version.
+    /// Whether every process follows the current plan and has no request at the former version.
     pub is_left: bool,
 }
 
-/// What follows.
+/// An action that results from a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanAction {
-    /// The order's state is to be written.
+    /// The state of the order must be written to the store.
     Write(ReleaseState),
-    /// The stage changed.
+    /// The stage changed and must be announced.
     Announce(ReleaseStage),
 }
 
-/// One order under way.
+/// A roll-out in progress.
 #[derive(Clone, Debug)]
 pub struct ReleasePlan {
     order: ReleaseOrder,
@@ -90,17 +93,17 @@
     ends_at: ClockTime,
     began_at: ClockTime,
     stage: ReleaseStage,
-    /// Raised with each change that processes must know.
+    /// Incremented with each change that processes must know.
     number: u64,
-    /// Up to how many requests are handed out while it moves.
+    /// Upper limit of granted requests during the move.
     move_bound: f64,
     written: Option<ReleaseState>,
-    /// What callers get of the versions.
+    /// Comparison of the answers of both versions.
     pub case: VersionComparison,
 }
 
 impl ReleasePlan {
-    /// Begins with an order as the store has it. A process that collects from now on goes on from what it was told.
+    /// Starts from an order as stored. A new collector continues from the state that it was told.
     pub fn begin(
         order: ReleaseOrder,
         (bounds, written): (ExposureBounds, Option<ReleaseState>),
@@ -133,27 +136,27 @@
         }
     }
 
-    /// The order.
+    /// Returns the order.
     pub fn order(&self) -> &ReleaseOrder {
         &self.order
     }
 
-    /// How far it is.
+    /// Returns the stage of the roll-out.
     pub fn stage(&self) -> ReleaseStage {
         self.stage
     }
 
-    /// The number of its last change.
+    /// Returns the number of the last change.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Whether it is neither completed nor rolled back.
+    /// Whether the order is neither completed nor rolled back.
     pub fn is_open(&self) -> bool {
         matches!(self.stage, ReleaseStage::Trying | ReleaseStage::Moving { .. })
     }
 
-    /// Up to how many requests may be handed out to the version, of `sent` ones since the order.
+    /// Returns how many requests may be granted to the version, of `sent` requests since the order.
     pub fn most(&self, sent: f64) -> f64 {
         match self.stage {
             ReleaseStage::Trying => self.bounds.trial_bound(sent),
@@ -162,7 +165,8 @@
         }
     }
 
-    /// What the processes are told; `sent` requests of the service were sent since the order.
+    /// Returns the state to send to the processes; `sent` requests of the service were sent since
+    /// the order.
     pub fn told(&self, sent: u64, now: ClockTime) -> OrderStatus {
         let stage = match self.stage {
             ReleaseStage::Trying => AnnouncedStage::Trying,
@@ -180,17 +184,17 @@
         }
     }
 
-    /// Notes that the store has this state.
+    /// Records that the store holds this state.
     pub fn note_written(&mut self, state: ReleaseState) {
         self.written = Some(state);
     }
 
-    /// The order was withdrawn: the version gets nothing.
+    /// Withdraws the order: the version gets no requests.
     pub fn withdraw(&mut self) {
         self.enter(ReleaseStage::RolledBack(PlanReason::Withdrawn));
     }
 
-    /// Goes on; gives what follows.
+    /// Advances the plan and returns the resulting actions.
     pub fn step(&mut self, facts: &PlanInputs, now: ClockTime) -> Vec<PlanAction> {
         self.case.evaluate(now);
         let before = self.stage;
@@ -230,7 +234,8 @@
         } else if now >= full_at && facts.is_left {
             self.enter(ReleaseStage::Completed);
         } else if now < full_at {
-            // If more is asked than when the moment was set, it is put off; if more came, more may move before it.
+            // If the request rate rose since the cutover was set, the cutover is postponed; if more
+            // requests arrived than expected, more may move before it.
             let remaining_bound = self.remaining_bound(facts, now);
             let full = full_time(remaining_bound, facts.rate_per_s);
             if full < self.ends_at - full_at {
@@ -243,7 +248,7 @@
         }
     }
 
-    /// Sets the moment from which the version gets all.
+    /// Sets the cutover time.
     fn set_cutover(&mut self, facts: &PlanInputs, now: ClockTime) {
         let remaining_bound = self.remaining_bound(facts, now);
         let full = full_time(remaining_bound * CUTOVER_FRACTION, facts.rate_per_s);
@@ -252,7 +257,8 @@
         self.enter(ReleaseStage::Moving { full_at });
     }
 
-    /// What is remaining_bound of the bound, counted over all requests until the order's end.
+    /// Returns what is left of the bound, which is based on all requests expected until the end of
+    /// the order.
     fn remaining_bound(&self, facts: &PlanInputs, now: ClockTime) -> f64 {
         let to_come = (self.ends_at - now).0 as f64 / 1000.0 * facts.rate_per_s / RATE_MARGIN;
         (self.bounds.move_bound(facts.sent + to_come) - facts.handed.max(self.move_bound)).max(0.0)
@@ -266,7 +272,7 @@
     }
 }
 
-/// For how long all requests may go to a version that may get `most` more.
+/// Returns for how long all requests may go to a version that may get `most` more.
 fn full_time(most: f64, rate_per_s: f64) -> TimeSpan {
     let seconds = most / (rate_per_s * RATE_MARGIN).max(1.0);
     TimeSpan((seconds * 1000.0) as u64).min(MAX_FULL_TIME)
--- a/crates/release/src/routing.rs
+++ b/crates/release/src/routing.rs
@@ -1,8 +1,9 @@
-//! What one process goes by: which versions of a service take its requests.
+//! Routing decisions of one process: which versions of a service take its requests.
 //!
-//! Every version but the one that serves may be under an order that has not been heard of yet. The store's revision tells: an
-//! order is written before its endpoints are, so that who knows the orders as of an entry's revision knows whether there is one
-//! for its version. Until then the endpoint gets nothing, unless its version serves already.
+//! Any version except the serving one may be subject to an order that this process has not heard of
+//! yet. The store revision settles this: an order is written before the endpoints of its version
+//! are, so a process that knows the orders as of an entry's revision knows whether there is one for
+//! its version. Until then the endpoint gets no requests, unless its version serves already.
 
 use crate::exposure::exposure_account;
 use compact_str::CompactString;
@@ -10,35 +11,35 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long versions of which nothing is known wait for news of the orders. Then the oldest one serves: callers of a
-/// process that hears nobody are not refused for that.
+/// How long unknown versions wait for the orders. After that the oldest version serves, so that
+/// callers of a process that is isolated are not refused.
 const UNKNOWN_VERSION_TIMEOUT: TimeSpan = TimeSpan(2000);
 
-/// The part of the share that goes on being tried while requests that last long move.
+/// The fraction of the trial share that continues while requests with long answers move.
 const MOVING_TRIAL_FRACTION: f64 = 0.1;
 
-/// What the processes are told of an order's stage.
+/// The stage of an order as sent between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnnouncedStage {
-    /// The version gets a part of the requests.
+    /// The version gets a share of the requests.
     #[serde(rename = "t")]
     Trying,
-    /// It gets all of them from a moment on.
+    /// The version gets all requests from a set time on.
     #[serde(rename = "m")]
     Moving {
-        /// In how long; 0 if it has passed.
+        /// Time until then; 0 if it has passed.
         #[serde(rename = "f")]
         full_in: TimeSpan,
     },
-    /// It has all requests.
+    /// The version gets all requests.
     #[serde(rename = "c")]
     Completed,
-    /// It gets nothing.
+    /// The version gets no requests: it was rolled back.
     #[serde(rename = "b")]
     Back,
 }
 
-/// What the processes are told of an order.
+/// The state of an order as sent between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderStatus {
     /// The service.
@@ -47,52 +48,53 @@
     /// The version.
     #[serde(rename = "v")]
     pub to: CompactString,
-    /// How far it is.
+    /// The stage of the roll-out.
     #[serde(rename = "p")]
     pub stage: AnnouncedStage,
-    /// Raised with each change.
+    /// Incremented with each change.
     #[serde(rename = "n")]
     pub number: u64,
-    /// In how long it must be decided.
+    /// Time left until the order must be decided.
     #[serde(rename = "e")]
     pub ends_in: TimeSpan,
-    /// Requests of the service that were sent since the order: a process that collects next goes on from there.
+    /// Requests of the service sent since the order, from which the next collector continues.
     #[serde(rename = "r", default)]
     pub sent: u64,
 }
 
-/// What the processes are told of all orders.
+/// The state of all orders as sent between processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderNews {
-    /// The store's revision as of which the orders are known; 0 if they are not.
+    /// The store revision as of which the orders are known; 0 if they are not known.
     #[serde(rename = "m", default)]
     pub mark: u64,
     /// The orders.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub told: Vec<OrderStatus>,
-    /// Versions that get nothing although no order names them any more: it was withdrawn before it was decided.
+    /// Versions that get no requests although no order names them any more, because the order was
+    /// withdrawn before it was decided.
     #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
     pub held: Vec<(ServiceName, CompactString)>,
 }
 
-/// Which endpoints a request may go to.
+/// The set of endpoints that a request may be routed to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum VersionLane {
-    /// Those of the versions that serve.
+    /// Endpoints of the serving versions.
     #[default]
     Serving,
-    /// Those of the version under an order.
+    /// Endpoints of the version under trial.
     Trial,
 }
 
-/// A version of a service, as its endpoints' entries show it.
+/// A version of a service as shown by the registry entries of its endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedVersion {
     /// The version.
     pub version: CompactString,
     /// The lowest revision of its entries.
     pub revision: u64,
-    /// When the first life of its endpoints began, if they say so.
+    /// The start of the earliest incarnation of its endpoints, if the entries state it.
     pub life: u64,
 }
 
@@ -103,7 +105,7 @@
 }
 
 impl KnownOrder {
-    /// Whether it is neither completed nor rolled back.
+    /// Whether the order is neither completed nor rolled back.
     fn is_open(&self) -> bool {
         matches!(self.told.stage, AnnouncedStage::Trying | AnnouncedStage::Moving { .. })
     }
@@ -122,7 +124,7 @@
     }
 }
 
-/// What one process knows of orders and versions.
+/// The orders and versions known to one process, and the routing that follows from them.
 #[derive(Clone, Debug, Default)]
 pub struct VersionRouter {
     mark: u64,
@@ -134,12 +136,13 @@
 }
 
 impl VersionRouter {
-    /// The revision as of which the orders are known.
+    /// Returns the store revision as of which the orders are known.
     pub fn mark(&self) -> u64 {
         self.mark
     }
 
-    /// Takes news that was written `late` ago at the most. Older news than what is known is left out.
+    /// Applies news that was written at most `late` ago. News older than the known state is
+    /// ignored.
     pub fn apply_news(&mut self, news: &OrderNews, late: TimeSpan, now: ClockTime) {
         if news.mark < self.mark || news.mark == 0 {
             return;
@@ -151,7 +154,7 @@
         let heard =
             |told: &OrderStatus| (told.service.clone(), KnownOrder { told: told.clone(), at });
         self.orders = news.told.iter().map(heard).collect();
-        // A version that was held back and is ordered again goes by its order.
+        // A held version that is ordered again follows its new order.
         for told in &news.told {
             self.held.remove(&(told.service.clone(), told.to.clone()));
         }
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Holds the versions of orders that were not completed and are not there any more.
+    /// Holds the versions of orders that disappeared before they were completed.
     fn hold_withdrawn_versions(&mut self, told: &[OrderStatus]) {
         let is_told = |order: &KnownOrder| {
             let same =
@@ -175,13 +178,13 @@
         self.held.extend(gone.collect::<Vec<_>>());
     }
 
-    /// The accounts from which requests to versions under orders are paid.
+    /// Returns the accounts that pay for requests to versions under trial.
     pub fn trial_accounts(&self) -> Vec<AccountName> {
         let account = |order: &KnownOrder| exposure_account(&order.told.service, &order.told.to);
         self.orders.values().filter(|order| order.is_open()).map(account).collect()
     }
 
-    /// What this process was told, for one that collects from now on and for the others.
+    /// Returns the known state as news, for the next collector and for the other processes.
     pub fn news(&self, now: ClockTime) -> OrderNews {
         let told = |order: &KnownOrder| {
             let ago = now - order.at;
@@ -201,13 +204,13 @@
         }
     }
 
-    /// The plans that this process goes by, for its reports.
+    /// Returns the plan number of each service that this process follows, for its reports.
     pub fn followed(&self) -> Vec<(ServiceName, u64)> {
         let followed = |order: &KnownOrder| (order.told.service.clone(), order.told.number);
         self.orders.values().map(followed).collect()
     }
 
-    /// The version of a service that is under an order which is neither completed nor rolled back.
+    /// Returns the version of a service that is under an undecided order.
     pub fn tried(&self, service: &ServiceName) -> Option<&CompactString> {
         let order = self.orders.get(service).filter(|order| order.is_open())?;
         Some(&order.told.to)
@@ -218,12 +221,13 @@
         self.orders.get(service).is_some_and(KnownOrder::is_moving)
     }
 
-    /// Whether that holds for any service.
+    /// Whether that is so for any service.
     pub fn any_moving(&self) -> bool {
         self.orders.values().any(KnownOrder::is_moving)
     }
 
-    /// Takes the versions that a service's endpoints have; says whether news of the orders is lacking for some.
+    /// Updates the versions of a service's endpoints; returns whether the orders are still unknown
+    /// for some of them.
     pub fn update_versions(
         &mut self,
         service: &ServiceName,
@@ -250,7 +254,7 @@
             self.unknown_since.remove(service);
         } else if open.is_empty() && (unknown.len() == 1 || now - since >= UNKNOWN_VERSION_TIMEOUT)
         {
-            // There is no other that one alone could be compared with.
+            // A single unknown version serves at once: there is no other to compare it with.
             let oldest = unknown.iter().min_by_key(|one| (one.life, one.revision));
             open.extend(oldest.map(|one| one.version.clone()));
         }
@@ -258,7 +262,7 @@
         !unknown.is_empty()
     }
 
-    /// Whether an order, or the end of one, says what a version gets.
+    /// Whether a current or a withdrawn order decides what a version gets.
     fn is_governed(&self, service: &ServiceName, version: &CompactString) -> bool {
         let order = self.orders.get(service);
         let ordered = order.is_some_and(|order| {
@@ -287,8 +291,9 @@
         }
     }
 
-    /// The account from which a request has to be paid to go to the version under an order; none if it goes to those that
-    /// serve. `lot` is drawn in 0 to 1; `share` is the part that is tried; `takes` is how long the answer is expected to last.
+    /// Returns the account that must pay for a request to go to the version under trial, or `None`
+    /// if the request goes to the serving versions. `lot` is drawn uniformly from 0 to 1, `share`
+    /// is the trial fraction, `takes` is the expected duration of the answer.
     pub fn paying_account(
         &self,
         service: &ServiceName,
@@ -298,7 +303,8 @@
         let order = self.orders.get(service).filter(|order| !order.is_full(now))?;
         let is_wanted = match order.told.stage {
             AnnouncedStage::Trying => lot < share,
-            // It would still run at the former version when that is to be left.
+            // The request would still be running at the former version when that version must be
+            // idle.
             AnnouncedStage::Moving { full_in } => {
                 lot < share * MOVING_TRIAL_FRACTION || now + takes >= order.at + full_in
             }
--- a/crates/suspect/src/record.rs
+++ b/crates/suspect/src/record.rs
@@ -97,7 +97,7 @@
     /// Removes expired entries; returns whether anything is left.
     pub fn expire(&mut self, now: ClockTime) -> bool {
         self.ends.retain(|end| now - end.at < CRASH_RETENTION);
-        // Kept for longer than it exonerates, so that it reaches processes that were partitioned
+        // Kept for longer than it exonerates, so that it reaches processes that were isolated
         // meanwhile.
         let stale = |at: ClockTime| now - at > TimeSpan(2 * EXONERATION_WINDOW.0);
         self.answered_at = self.answered_at.filter(|at| !stale(*at));
--- a/tests/all/release.rs
+++ b/tests/all/release.rs
@@ -1,5 +1,5 @@
-//! Roll-outs of good and bad versions before many processes, in virtual time: what the version gets, when it is decided, and
-//! what callers' requests come to.
+//! Simulated roll-outs of good and bad versions across many processes, in virtual time: how many
+//! requests the version gets, when the roll-out is decided, and what happens to running requests.
 
 use crate::seeds::seeds;
 use arbtest::arbtest;
@@ -18,36 +18,36 @@
 const SHARE: f64 = 0.1;
 const SLACK: f64 = 50.0;
 const BOUNDS: ExposureBounds = ExposureBounds { share: SHARE, slack: SLACK };
-/// The longest time in which a bad version may go on getting requests after its 50th bad answer.
+/// The longest time for which a bad version may get requests after its 50th bad answer.
 const ROLLBACK: TimeSpan = TimeSpan(5000);
 const REPORT_MS: u64 = 250;
 const ORDER_MS: u64 = 12_000;
-/// What a request's answer takes, in ms: most are short, one in twelve is a long stream.
+/// Durations of answers in ms: most are short, one in twelve is a long stream.
 const SHORT_MS: (u64, u64) = (30, 200);
 const LONG_MS: (u64, u64) = (1000, 4500);
 const LONG_PART: u64 = 12;
 const ROUTES: [&str; 3] = ["r-short", "r-long", "r-other"];
 
-/// How a version is bad.
+/// The fault of a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum VersionFault {
     Good,
-    /// It fails this part of its requests in a hundred from a moment on.
+    /// It fails this percentage of its requests from a given time on.
     Fails {
         percent: u64,
         from_ms: u64,
     },
-    /// It is four times as slow from a moment on.
+    /// It is four times as slow from a given time on.
     Slow {
         from_ms: u64,
     },
     /// It fails half of the requests on one route.
     OnRoute,
-    /// It fails half of its requests once its endpoints have as much to do as the others.
+    /// It fails half of its requests once its endpoints are as loaded as the others.
     UnderLoad,
 }
 
-/// What else goes on.
+/// A disturbance during the roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Disturbance {
     Calm,
@@ -55,11 +55,11 @@
     AllFail,
     /// A seventh of the endpoints of both versions fail nearly half of their requests all the time.
     SomeFail,
-    /// The process that collects is killed at 4 s, and another begins from what it was told.
+    /// The collector is killed at 4 s, and another process continues from what it was told.
     CollectorKilled,
-    /// Demand is six times as high for 3 s.
+    /// The request rate is six times as high for 3 s.
     Jump,
-    /// Half of the processes hear nothing for 3 s.
+    /// Half of the processes receive no news for 3 s.
     Cut,
 }
 
@@ -83,7 +83,7 @@
     decided_at: Option<u64>,
     completed: bool,
     rolled_back: Option<PlanReason>,
-    /// Requests that ran at the former version when the order was completed.
+    /// Requests still running at the former version when the order was completed.
     cut: usize,
 }
 
@@ -103,7 +103,7 @@
     endpoint: usize,
     route: &'static str,
     ends_ms: u64,
-    /// When the first part of its answer comes.
+    /// When the first part of its answer arrives.
     first_ms: u64,
     sample: Option<AnswerSample>,
 }
@@ -117,7 +117,7 @@
 }
 
 impl Collector {
-    /// Hands out requests of the version to a process.
+    /// Grants requests to the version under trial to a process.
     fn allot(&mut self, one: &mut SimulatedProcess, processes: usize, now: ClockTime) {
         let account = exposure_account(&service(), "v2");
         let bond = one.gate.bond(now);
@@ -237,7 +237,7 @@
                 let hint = 100 + draw(80);
                 let length = least + draw(most - least);
                 let route = if long { ROUTES[1] } else { ROUTES[2 * usize::from(draw(4) == 0)] };
-                // Callers guess the length of an answer at 1 to 1.8 times what it comes to.
+                // Callers estimate the length of an answer at 1 to 1.8 times its actual length.
                 let expected = length * hint / 100;
                 let lot = draw(1_000_000) as f64 / 1e6;
                 let one = &mut processes[at];
@@ -426,10 +426,10 @@
     VersionFault::UnderLoad,
 ];
 
-/// How many seeds of each simulation CI runs.
+/// Seeds per simulation in CI.
 const SEEDS: u64 = 1;
 
-/// Callers of a tenth of the requests and more get answers of a bad version.
+/// Guards against a bad version that answers more requests than its bound.
 #[test]
 fn a_bad_version_gets_no_more_than_its_bound() {
     for kind in VERSION_FAULTS {
@@ -447,8 +447,8 @@
     }
 }
 
-/// The same in a small and in a large fleet: a bound that is handed out by whole requests leaves nothing to try with, or each
-/// process holds one.
+/// The same in a small and in a large fleet, where a bound granted in whole requests may leave
+/// nothing to try the version with, or is exceeded because each process holds one.
 #[test]
 fn a_bad_version_gets_no_more_than_its_bound_at_nine_and_at_195_processes() {
     for (processes, per_s, endpoints) in [(9, 105, 11), (195, 2275, 230)] {
@@ -467,14 +467,16 @@
     }
 }
 
-/// Whether a version shows in its time that it is bad. One that turns bad at the last moment does not; while half of the
-/// requests fail at the other version as well, a few more are taken for chance.
+/// Whether the fault shows within the order's time. A version that fails only at the last moment
+/// does not show; while half of the requests fail at the other version too, a small excess counts
+/// as chance.
 fn shows(kind: VersionFault, disturbance: Disturbance) -> bool {
     !matches!(kind, VersionFault::Fails { from_ms: 11_300, .. })
         && disturbance != Disturbance::AllFail
 }
 
-/// A bad version is completed: the endpoints that served stop, and callers have only bad ones left.
+/// Guards against completing a bad version: the former endpoints would stop and callers would have
+/// only bad ones left.
 #[test]
 fn a_version_that_shows_that_it_is_bad_is_rolled_back() {
     for kind in VERSION_FAULTS {
@@ -492,8 +494,8 @@
     }
 }
 
-/// A good version never gets into service: troubles of both versions pass for its own. Or requests are cut at the former
-/// version, whose endpoints stop at once.
+/// Guards against rejecting a good version because of faults that hit both versions, and against
+/// cutting requests at the former version, whose endpoints stop at once.
 #[test]
 fn a_good_version_is_completed_and_cuts_nothing() {
     for disturbance in DISTURBANCES {
@@ -508,7 +510,8 @@
     }
 }
 
-/// A good version is completed too late: its operators wait, or take it for bad.
+/// Guards against completing a good version too late, so that its operators wait or take it for
+/// bad.
 #[test]
 fn a_good_version_is_completed_in_time_without_disturbance() {
     for seed in seeds(SEEDS) {
@@ -523,8 +526,9 @@
     OrderStatus { service: service(), to: "v2".into(), stage, number: 1, ends_in, sent: 0 }
 }
 
-/// A version under an order gets requests that nobody handed out, in whatever order a process hears of its endpoints, of the
-/// order, of an older state of the orders, and of the order's end.
+/// Guards against requests that nobody granted to a version under an order, whatever the order in
+/// which a process hears of the endpoints, the order, an older state of the orders, and the end of
+/// the order.
 #[test]
 fn a_version_under_trial_never_serves_whatever_the_order_of_news() {
     arbtest(|u| {
@@ -535,7 +539,7 @@
             now = now + TimeSpan(u.int_in_range(0..=1500)?);
             if u.ratio(1, 2)? {
                 let mark = u.int_in_range(1..=30_u64)?;
-                // The order was written as of 10, before the endpoints of its version.
+                // The order was written at revision 10, before the endpoints of its version.
                 let stage =
                     if u.ratio(1, 3)? { AnnouncedStage::Back } else { AnnouncedStage::Trying };
                 let orders = if mark >= 10 { vec![told(stage)] } else { Vec::new() };
@@ -558,7 +562,8 @@
     });
 }
 
-/// The bound is passed by how the demand goes: it falls to nothing, or grows many times, after the moment was set.
+/// Guards against exceeding the bound when the request rate drops to nothing or multiplies after
+/// the cutover was set.
 #[test]
 fn grants_never_exceed_the_bound() {
     arbtest(|u| {
@@ -568,7 +573,7 @@
             let now = START + TimeSpan(step * 100);
             let rate = f64::from(u.int_in_range(0..=3000_u32)?);
             sent += rate / 10.0;
-            // All that may be handed out is.
+            // Everything that may be granted is granted.
             handed = handed.max(plan.most(sent));
             let facts =
                 PlanInputs { sent, rate_per_s: rate, handed, trial_endpoints: 4, is_left: false };
--- a/tests/all/rollout.rs
+++ b/tests/all/rollout.rs
@@ -1,5 +1,5 @@
-//! Roll-outs before real front processes and endpoints of two versions, in virtual time: what each version gets, what the
-//! store is told, and what callers get.
+//! Roll-outs with real front processes and endpoints of two versions, in virtual time: which
+//! requests each version gets, what is written to the store, and what callers receive.
 
 use crate::front::{request, try_ask};
 use crate::plays::{EndpointRegistry, PlayGroup, play};
@@ -17,19 +17,19 @@
 const ENDPOINTS: usize = 4;
 const SHARE: f64 = 0.1;
 const SLACK: u32 = 30;
-/// Within which an order is to be decided.
+/// The time in which an order is to be decided, in seconds.
 const ORDER_S: f64 = 8.0;
-/// How long an endpoint takes.
+/// How long an endpoint takes to answer.
 const RUN_TIME: Duration = Duration::from_millis(30);
-/// Callers, one request after the other each.
+/// Number of callers, each of which sends one request after the other.
 const CALLERS: usize = 10;
 const GAP: Duration = Duration::from_millis(10);
 
-/// Endpoints of one version.
+/// The endpoints of one version.
 struct VersionFleet {
     version: &'static str,
     registry: EndpointRegistry,
-    /// One in so many requests fails.
+    /// One in this many requests fails.
     fails_one_in: Option<u32>,
     came: Cell<u32>,
     failed: Cell<u32>,
@@ -93,14 +93,14 @@
         }
     }
 
-    /// All of them leave the list.
+    /// Removes all endpoints from the list.
     fn remove(&self) {
         (0..ENDPOINTS)
             .for_each(|number| self.registry.remove(&format!("{}-{number}", self.version)));
     }
 }
 
-/// Callers that ask one request after the other.
+/// Callers that send one request after the other.
 #[derive(Default)]
 struct Callers {
     addresses: RefCell<Vec<SocketAddr>>,
@@ -150,7 +150,7 @@
         Rollout { group, former, callers }
     }
 
-    /// Waits until the order stands so, for as long as `seconds` at the most; gives whether it does.
+    /// Waits up to `seconds` for the order to reach a state; returns whether it does.
     async fn stands(&self, state: &str, seconds: f64) -> bool {
         let until = Instant::now() + Duration::from_secs_f64(seconds);
         while Instant::now() < until {
@@ -163,7 +163,8 @@
     }
 }
 
-/// A version that fails a third of its requests gets full traffic the moment its endpoints are listed.
+/// Guards against a version that fails a third of its requests and gets full traffic the moment its
+/// endpoints are listed.
 #[test]
 fn a_failing_version_is_rolled_back_after_a_few_requests() {
     play(async {
@@ -181,12 +182,13 @@
         assert!(runs && is_back, "{}", rollout.group.release_status());
         assert!(f64::from(came) <= SHARE * asked + f64::from(SLACK), "{came} of {asked}");
         assert!(failed <= 20, "{failed} bad answers");
-        // What was on its way when it was decided may still come.
+        // Requests in flight at the decision may still arrive.
         assert!(tried.came.get() <= came + 10, "{} after {came}", tried.came.get());
     });
 }
 
-/// A good version never gets into service, or the endpoints that served are stopped while they run requests.
+/// Guards against a good version that never serves, and against stopping the former endpoints while
+/// they run requests.
 #[test]
 fn a_sound_version_is_completed_when_nothing_runs_at_the_former_one() {
     play(async {
@@ -206,8 +208,8 @@
     });
 }
 
-/// Endpoints of another version get nothing for good although nobody ordered a roll-out: a service that is replaced one
-/// endpoint after the other has none left.
+/// Without an order, endpoints of another version must get requests: otherwise a service that is
+/// replaced one endpoint after the other has none left.
 #[test]
 fn without_an_order_another_version_serves() {
     play(async {
@@ -224,7 +226,7 @@
     });
 }
 
-/// A version gets full traffic because its order was taken away while it was tried.
+/// Guards against full traffic to a version whose order was removed during the trial.
 #[test]
 fn a_version_whose_order_was_withdrawn_gets_nothing() {
     play(async {
@@ -243,7 +245,8 @@
     });
 }
 
-/// Callers are refused for a while after all processes were killed: a process that begins knows no version that serves.
+/// Guards against refused callers after all processes were killed, because a new process knows no
+/// serving version.
 #[test]
 fn a_restarted_process_serves_at_once() {
     play(async {
@@ -262,7 +265,8 @@
     });
 }
 
-/// A version that was held back when its order was withdrawn serves nobody for good, though a later order was completed.
+/// Guards against a version that is held since its order was withdrawn and never serves, although a
+/// later order was completed.
 #[test]
 fn a_version_that_is_ordered_again_follows_its_new_order() {
     play(async {
@@ -285,8 +289,8 @@
     });
 }
 
-/// An order that cannot be carried out is taken for another one: its version gets requests, or a state is written that nobody
-/// decided.
+/// Guards against treating an order that cannot be carried out as another one: its version would
+/// get requests, or a state would be written that nobody decided.
 #[test]
 fn an_order_without_time_is_not_carried_out_and_its_version_gets_nothing() {
     play(async {
@@ -300,7 +304,8 @@
     });
 }
 
-/// A roll-out stands still, or its version gets more than it may, because the process that carries it out is killed.
+/// Guards against a roll-out that stalls, or a version that exceeds its bound, because the process
+/// in charge is killed.
 #[test]
 fn the_next_collector_continues_an_order() {
     play(async {
