--- a/crates/front/src/releases.rs
+++ b/crates/front/src/releases.rs
@@ -160,7 +160,7 @@
     for RouteEvidence { route, seen } in &report.route_evidence {
         let Some(fact) = board.key(&seen.instance).and_then(|key| board.get(key)) else { continue };
         // What a leaving endpoint fails is no fault of its version.
-        if !fact.takes_work() || !seen.tally.is_possible() {
+        if !fact.takes_work() || !seen.tally.is_plausible() {
             continue;
         }
         let Some(running) = desk.running.get_mut(&fact.entry.service) else { continue };
--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -1,18 +1,19 @@
-//! Which endpoints answer worse than the others of their service, by what all processes saw together.
+//! Outlier detection: which endpoints answer worse than the others of their service.
 //!
-//! Among hundreds of processes one meets a given endpoint about once a minute, so none of them can tell a
-//! slow or failing replica from bad luck. Each tells the collector what it saw since its last report
-//! ([`EvidenceTally`]); the collector joins this by endpoint and lets it fade ([`EvidenceBook`]), and compares
-//! each endpoint with the middle one of its service ([`judge_service`]). Only those that stand out are told
-//! to all.
+//! With hundreds of processes, each sends a request to a given endpoint about once a minute, so
+//! none of them alone can tell a slow or failing replica from chance. Each reports its observations
+//! since its last report to the collector ([`EvidenceTally`]). The collector sums them by endpoint
+//! with exponential decay ([`EvidenceAggregate`]) and compares each endpoint with the median of its
+//! service ([`judge_service`]). Only the outliers are sent to all processes.
 //!
-//! The comparison is robust: a whole service that is slow, or an engine model that reads slowly, moves
-//! the middle, and then nobody stands out. All of it is a pure function of what was seen and the time.
+//! The comparison is robust: if a whole service is slow, or an engine model is slow to read
+//! prompts, the median moves and no endpoint is an outlier. Everything here is a pure function of
+//! the observations and the time.
 
-mod book;
+mod aggregate;
 mod tally;
 mod verdict;
 
-pub use book::{EvidenceBook, EvidenceSum};
-pub use tally::{AnswerSample, EvidenceTally, MOST_COUNTED};
-pub use verdict::{BadTrait, LEAST_SEEN, ServiceEvidence, judge_service, most_aside};
+pub use aggregate::{EvidenceAggregate, EvidenceSum};
+pub use tally::{AnswerSample, EvidenceTally, MAX_PLAUSIBLE_COUNT};
+pub use verdict::{BadTrait, MIN_ANSWERS_ASIDE, ServiceEvidence, judge_service, max_set_aside};
--- a/crates/judge/src/tally.rs
+++ b/crates/judge/src/tally.rs
@@ -1,41 +1,43 @@
-//! What one process saw of one endpoint between two reports.
+//! Observations of one process about one endpoint between two reports.
 
 use oleander_kind::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// The most answers of one endpoint that a report can truly count: a process reports four times a second and
-/// serves some hundred requests a second at the most. Reports with more are not believed.
-pub const MOST_COUNTED: u16 = 1000;
-/// The most by which one answer counts as slower or quicker than expected, in powers of two. Beyond six times
-/// it says no more: a short prompt behind a long one that nobody had heard of must not outweigh five.
-const MOST_SLOWNESS: f32 = 2.6;
+/// The most answers of one endpoint that a report can plausibly count: a process reports four times
+/// a second and serves a few hundred requests a second at most. Reports with more are rejected.
+pub const MAX_PLAUSIBLE_COUNT: u16 = 1000;
+/// The most that one answer can count as slower or faster than expected, in powers of two. Beyond a
+/// factor of six the exact value carries no information: a short prompt queued behind an unknown
+/// long one must not outweigh five others.
+const MAX_SLOWNESS: f32 = 2.6;
 
-/// How one answer came.
+/// The result of one answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AnswerSample {
-    /// Its first part came after `took`, where `expected` was to be expected by what waited there.
+    /// The first part of the answer came after `took`; `expected` is the estimate from the queued
+    /// work.
     Came {
-        /// From sending the request to the first part of the answer.
+        /// Time from sending the request to the first part of the answer.
         took: TimeSpan,
-        /// What the work ahead and its own usually take.
+        /// The usual time for the queued work and the request itself.
         expected: TimeSpan,
     },
-    /// It failed: a failure of the endpoint's own, a broken answer, no connection or silence.
+    /// The answer failed: an endpoint failure, a malformed answer, no connection or silence.
     Failed,
-    /// Nothing of it has come for twice its objective. It may come yet; waiting for that would let a mute
-    /// endpoint go unseen for as long as callers wait.
+    /// Nothing has come for twice the latency objective. The answer may still come, but waiting for
+    /// it would hide an unresponsive endpoint for as long as callers wait.
     Overdue,
 }
 
-/// What one process saw of one endpoint.
+/// Observations of one process about one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "TallyFields", into = "TallyFields")]
 pub struct EvidenceTally {
-    /// Answers that came.
+    /// Answers received.
     pub came: u16,
-    /// Answers that failed, and those overdue.
+    /// Answers that failed or are overdue.
     pub failed: u16,
-    /// How much slower than expected the answers came, in powers of two, summed.
+    /// Sum of the slowness of the answers relative to the expected time, in powers of two.
     pub slowness: f32,
 }
 
@@ -60,7 +62,7 @@
             AnswerSample::Came { took, expected } => {
                 let ratio = (took.0.max(1) as f32 / expected.0.max(1) as f32).log2();
                 self.came = self.came.saturating_add(1);
-                self.slowness += ratio.clamp(-MOST_SLOWNESS, MOST_SLOWNESS);
+                self.slowness += ratio.clamp(-MAX_SLOWNESS, MAX_SLOWNESS);
             }
             AnswerSample::Failed | AnswerSample::Overdue => {
                 self.failed = self.failed.saturating_add(1);
@@ -68,18 +70,18 @@
         }
     }
 
-    /// Adds what was seen besides.
+    /// Adds another tally.
     pub fn add(&mut self, more: EvidenceTally) {
         self.came = self.came.saturating_add(more.came);
         self.failed = self.failed.saturating_add(more.failed);
         self.slowness += more.slowness;
     }
 
-    /// Whether a process can have seen this.
-    pub fn is_possible(&self) -> bool {
-        let most = f32::from(self.came) * MOST_SLOWNESS;
-        self.came <= MOST_COUNTED
-            && self.failed <= MOST_COUNTED
+    /// Whether a process can plausibly have observed this.
+    pub fn is_plausible(&self) -> bool {
+        let most = f32::from(self.came) * MAX_SLOWNESS;
+        self.came <= MAX_PLAUSIBLE_COUNT
+            && self.failed <= MAX_PLAUSIBLE_COUNT
             && self.slowness.is_finite()
             && self.slowness.abs() <= most
     }
--- a/crates/mesh/src/evidence.rs
+++ b/crates/mesh/src/evidence.rs
@@ -2,8 +2,8 @@
 
 use crate::message::{EndpointEvidence, EndpointVerdict, LifeMark, NodeReport};
 use oleander_judge::{
-    BadTrait, EvidenceBook, EvidenceSum, EvidenceTally, LEAST_SEEN, ServiceEvidence, judge_service,
-    most_aside,
+    BadTrait, EvidenceAggregate, EvidenceSum, EvidenceTally, MIN_ANSWERS_ASIDE, ServiceEvidence,
+    judge_service, max_set_aside,
 };
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
 /// What all processes saw of the endpoints, and which are set aside.
 #[derive(Debug, Default)]
 pub struct EndpointJudge {
-    book: EvidenceBook<EndpointLife>,
+    book: EvidenceAggregate<EndpointLife>,
     aside: BTreeMap<EndpointLife, AsideMark>,
     judged_at: ClockTime,
 }
@@ -65,7 +65,7 @@
         let mut left_out = 0;
         for EndpointEvidence { instance, life, tally } in &report.evidence {
             let endpoint = (instance.clone(), *life);
-            if tally.is_possible() && knows(&endpoint) {
+            if tally.is_plausible() && knows(&endpoint) {
                 self.note_tally(endpoint, *tally, now);
             } else {
                 left_out += 1;
@@ -122,8 +122,8 @@
             before: self.aside.get(&endpoints[at]).map(|mark| mark.bad_trait),
         };
         let known: Vec<_> = (0..endpoints.len()).map(evidence).collect();
-        let mut left = most_aside(endpoints.len());
-        for one in known.iter().filter(|one| one.sum.seen() < LEAST_SEEN) {
+        let mut left = max_set_aside(endpoints.len());
+        for one in known.iter().filter(|one| one.sum.seen() < MIN_ANSWERS_ASIDE) {
             let endpoint = &endpoints[one.endpoint];
             let kept = self.aside.get(endpoint).filter(|mark| now - mark.proved_at < UNPROVED_KEPT);
             if let Some(mark) = kept {
