--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -197,10 +197,10 @@
                 self.take_answer(target, work, sent, (head, mark)).await
             }
             Err(fault) => {
-                let byte_left = sent.is_none_or(|sent| sent.byte_left());
+                let may_have_sent = sent.is_none_or(|sent| sent.may_have_sent());
                 let end = match fault {
-                    _ if !byte_left => AttemptEnd::NotSent,
-                    LinkError::Late(_) => AttemptEnd::TimedOut,
+                    _ if !may_have_sent => AttemptEnd::NotSent,
+                    LinkError::TimedOut(_) => AttemptEnd::TimedOut,
                     _ => AttemptEnd::Broken,
                 };
                 // A kept connection that ends at once was most likely closed for its age.
@@ -293,9 +293,9 @@
         const MOST_FOREIGN: u32 = 2;
         let began = Instant::now();
         let asked_at = self.node.clock.now();
-        let late = |_| LinkError::Late(began.elapsed());
+        let late = |_| LinkError::TimedOut(began.elapsed());
         let spent = || LinkError::Malformed("answers to other requests".to_owned());
-        let ended = || LinkError::Cut(io::ErrorKind::ConnectionReset.into());
+        let ended = || LinkError::Interrupted(io::ErrorKind::ConnectionReset.into());
         for _ in 0..=MOST_FOREIGN {
             let sent = slot.as_mut().ok_or_else(spent)?;
             let reading = self.node.while_lives(key, sent.read_head());
@@ -312,7 +312,7 @@
                 Ok(())
             };
             timeout_at(limit, reading).await.map_err(late)??;
-            *slot = foreign.into_waiting(&self.node.http);
+            *slot = foreign.await_next_answer(&self.node.http);
         }
         Err(spent())
     }
@@ -370,8 +370,8 @@
 
     fn note_fault(&self, target: &AttemptTarget, work: &mut WorkGuard, fault: &LinkError) {
         let grade = match fault {
-            LinkError::Unreached(_) | LinkError::Late(_) => AnswerGrade::Dead,
-            LinkError::Cut(_) | LinkError::Malformed(_) => AnswerGrade::Bad,
+            LinkError::ConnectFailed(_) | LinkError::TimedOut(_) => AnswerGrade::Dead,
+            LinkError::Interrupted(_) | LinkError::Malformed(_) => AnswerGrade::Bad,
         };
         self.note_failure(target, work, grade);
         if suspects::is_closed(fault) && self.node.takes_work(target.key) {
--- a/crates/front/src/ingress.rs
+++ b/crates/front/src/ingress.rs
@@ -16,7 +16,7 @@
 use oleander_board::StopStage;
 use oleander_call::CallerBounds;
 use oleander_kind::ResultCode;
-use oleander_outlet::{SocketBounds, tune_socket};
+use oleander_outlet::{SocketBounds, configure_socket};
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
@@ -67,7 +67,7 @@
 }
 
 async fn serve_caller(node: Rc<FrontNode>, mut stream: TcpStream) {
-    if let Err(fault) = tune_socket(&stream, SocketBounds::default()) {
+    if let Err(fault) = configure_socket(&stream, SocketBounds::default()) {
         event!(node, CallerFault; "fault" => fault.to_string());
     }
     let mut codec = Codec::new(node.http.config().clone());
--- a/crates/front/src/suspects.rs
+++ b/crates/front/src/suspects.rs
@@ -88,7 +88,7 @@
         Err(_) => return,
     };
     actix_rt::time::sleep(LOOK_TIME).await;
-    if !link.is_quiet() {
+    if !link.is_reusable() {
         // Something before the endpoint accepts connections in its place, and finds nobody there.
         return note_ended(&node, &life, "connection closed");
     }
@@ -100,7 +100,7 @@
 
 /// Whether nobody listens any more where an endpoint did.
 pub fn is_closed(fault: &LinkError) -> bool {
-    matches!(fault, LinkError::Unreached(cause) if cause.kind() == io::ErrorKind::ConnectionRefused)
+    matches!(fault, LinkError::ConnectFailed(cause) if cause.kind() == io::ErrorKind::ConnectionRefused)
 }
 
 /// Notes that a life of an endpoint ended which had not said that it leaves; `by` says how it showed.
--- a/crates/outlet/src/lib.rs
+++ b/crates/outlet/src/lib.rs
@@ -11,4 +11,4 @@
 
 pub use link::{BodyLink, HttpCodec, IdleLink, LinkError, Result, SentLink};
 pub use pool::LinkPool;
-pub use socket::{SocketBounds, listen_socket, tune_socket};
+pub use socket::{SocketBounds, configure_socket, listen_socket};
--- a/crates/outlet/src/link.rs
+++ b/crates/outlet/src/link.rs
@@ -2,7 +2,7 @@
 //!
 //! Dropping a link in any state closes its connection, which is how a request is cancelled.
 
-use crate::socket::{SocketBounds, tune_socket};
+use crate::socket::{SocketBounds, configure_socket};
 use actix_codec::{Decoder, Encoder};
 use actix_http::body::BodySize;
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, Message, MessageType};
@@ -27,20 +27,20 @@
     #[derive(Debug)]
     pub enum LinkError {
         /// No connection could be made.
-        Unreached(cause: io::Error) {
-            display("not reached: {}", cause)
+        ConnectFailed(cause: io::Error) {
+            display("connection failed: {}", cause)
         }
         /// It broke or ended before the answer was whole.
-        Cut(cause: io::Error) {
-            display("cut: {}", cause)
+        Interrupted(cause: io::Error) {
+            display("connection ended before the answer was complete: {}", cause)
         }
         /// It brought bytes that are no HTTP.
         Malformed(detail: String) {
-            display("not HTTP: {}", detail)
+            display("invalid HTTP: {}", detail)
         }
         /// The time limit passed.
-        Late(limit: Duration) {
-            display("nothing for {:?}", limit)
+        TimedOut(limit: Duration) {
+            display("no data within {:?}", limit)
         }
     }
 }
@@ -48,8 +48,8 @@
 /// The result of link operations.
 pub type Result<T> = std::result::Result<T, LinkError>;
 
-fn ended() -> LinkError {
-    LinkError::Cut(io::ErrorKind::UnexpectedEof.into())
+fn unexpected_eof() -> LinkError {
+    LinkError::Interrupted(io::ErrorKind::UnexpectedEof.into())
 }
 
 /// Makes the codecs of links; one a process, because the library keeps a timer with each.
@@ -86,12 +86,12 @@
     /// Connects to `address` within `limit`.
     ///
     /// # Errors
-    /// [`LinkError::Unreached`]; no byte of a request has left.
+    /// [`LinkError::ConnectFailed`]; no byte of a request has left.
     pub async fn open(address: SocketAddr, limit: Duration, bounds: SocketBounds) -> Result<Self> {
         let connecting = tokio::time::timeout(limit, TcpStream::connect(address)).await;
-        let late = |_| LinkError::Unreached(io::ErrorKind::TimedOut.into());
-        let stream = connecting.map_err(late)?.map_err(LinkError::Unreached)?;
-        tune_socket(&stream, bounds).map_err(LinkError::Unreached)?;
+        let late = |_| LinkError::ConnectFailed(io::ErrorKind::TimedOut.into());
+        let stream = connecting.map_err(late)?.map_err(LinkError::ConnectFailed)?;
+        configure_socket(&stream, bounds).map_err(LinkError::ConnectFailed)?;
         let buffer = BytesMut::new();
         Ok(IdleLink { stream, buffer, answers: 0, idle_since: Instant::now() })
     }
@@ -110,7 +110,7 @@
     ///
     /// Sending on a connection that its endpoint has closed would leave a doubt whether the request
     /// ran; a byte that waits here would be taken for the beginning of the next answer.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let mut probe = [0; 1];
         let read = self.stream.try_read(&mut probe);
         self.buffer.is_empty()
@@ -133,7 +133,7 @@
         let malformed = |fault: io::Error| LinkError::Malformed(fault.to_string());
         coder.encode(item, &mut unsent).map_err(malformed)?;
         unsent.extend_from_slice(&body);
-        Ok(SentLink { link: self, coder, unsent, byte_left: false, head_only })
+        Ok(SentLink { link: self, coder, unsent, may_have_sent: false, head_only })
     }
 }
 
@@ -142,21 +142,21 @@
     link: IdleLink,
     coder: ClientCodec,
     unsent: BytesMut,
-    byte_left: bool,
+    may_have_sent: bool,
     head_only: bool,
 }
 
 impl SentLink {
     /// Whether a byte of the request may have left.
-    pub fn byte_left(&self) -> bool {
-        self.byte_left
+    pub fn may_have_sent(&self) -> bool {
+        self.may_have_sent
     }
 
     /// Sends what is not sent yet and reads the head of the answer. An endpoint may answer before
     /// it has read the whole body; the rest is then not sent, and the link is not used again.
     ///
     /// # Errors
-    /// Any; [`byte_left`](Self::byte_left) tells whether the endpoint may have got something.
+    /// Any; [`may_have_sent`](Self::byte_left) tells whether the endpoint may have got something.
     pub async fn read_head(&mut self) -> Result<ResponseHead> {
         loop {
             let decoded = self.coder.decode(&mut self.link.buffer);
@@ -178,17 +178,17 @@
             tokio::select! {
                 biased;
                 written = writer.write_buf(&mut self.unsent) => {
-                    let count = written.map_err(LinkError::Cut)?;
-                    self.byte_left |= count > 0;
+                    let count = written.map_err(LinkError::Interrupted)?;
+                    self.may_have_sent |= count > 0;
                     return Ok(());
                 }
                 read = reader.read_buf(&mut self.link.buffer) => read,
             }
         };
         match read {
-            Ok(0) => Err(ended()),
+            Ok(0) => Err(unexpected_eof()),
             Ok(_) => Ok(()),
-            Err(fault) => Err(LinkError::Cut(fault)),
+            Err(fault) => Err(LinkError::Interrupted(fault)),
         }
     }
 
@@ -203,15 +203,15 @@
             || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let has_length = head.headers().contains_key(CONTENT_LENGTH);
         let framing = match self.coder.message_type() {
-            _ if no_body => BodyFraming::Over,
+            _ if no_body => BodyFraming::Complete,
             // The library takes an HTTP/1.1 answer without a length for an empty one; it ends with
             // its connection (RFC 9112, section 6.3).
-            MessageType::None if has_length => BodyFraming::Over,
-            MessageType::None | MessageType::Stream => BodyFraming::UntilEnd,
+            MessageType::None if has_length => BodyFraming::Complete,
+            MessageType::None | MessageType::Stream => BodyFraming::UntilClose,
             MessageType::Payload if head.version == Version::HTTP_10 && !has_length => {
-                BodyFraming::UntilEnd
+                BodyFraming::UntilClose
             }
-            MessageType::Payload => BodyFraming::Coded(self.coder.into_payload_codec()),
+            MessageType::Payload => BodyFraming::Encoded(self.coder.into_payload_codec()),
         };
         BodyLink { link: self.link, framing, reusable }
     }
@@ -219,11 +219,11 @@
 
 enum BodyFraming {
     /// By a length or in chunks.
-    Coded(ClientPayloadCodec),
+    Encoded(ClientPayloadCodec),
     /// Until the connection ends.
-    UntilEnd,
+    UntilClose,
     /// All of it was read.
-    Over,
+    Complete,
 }
 
 /// A connection whose answer's body is being read.
@@ -237,29 +237,29 @@
     /// The next bytes of the body; `None` once it is whole.
     ///
     /// # Errors
-    /// [`LinkError::Cut`] if the connection ended too early or broke, [`LinkError::Malformed`] if
+    /// [`LinkError::Interrupted`] if the connection ended too early or broke, [`LinkError::Malformed`] if
     /// the framing is wrong.
     pub async fn next(&mut self) -> Result<Option<Bytes>> {
         loop {
             match &mut self.framing {
-                BodyFraming::Over => return Ok(None),
-                BodyFraming::UntilEnd if !self.link.buffer.is_empty() => {
+                BodyFraming::Complete => return Ok(None),
+                BodyFraming::UntilClose if !self.link.buffer.is_empty() => {
                     return Ok(Some(self.link.buffer.split().freeze()));
                 }
-                BodyFraming::UntilEnd => {
+                BodyFraming::UntilClose => {
                     self.reusable = false;
                     if self.read_more().await? == 0 {
-                        self.framing = BodyFraming::Over;
+                        self.framing = BodyFraming::Complete;
                     }
                 }
-                BodyFraming::Coded(coder) => {
+                BodyFraming::Encoded(coder) => {
                     let decoded = coder.decode(&mut self.link.buffer);
                     match decoded.map_err(|fault| LinkError::Malformed(fault.to_string()))? {
                         Some(Some(bytes)) => return Ok(Some(bytes)),
-                        Some(None) => self.framing = BodyFraming::Over,
+                        Some(None) => self.framing = BodyFraming::Complete,
                         None => {
                             if self.read_more().await? == 0 {
-                                return Err(ended());
+                                return Err(unexpected_eof());
                             }
                         }
                     }
@@ -270,12 +270,12 @@
 
     async fn read_more(&mut self) -> Result<usize> {
         self.link.buffer.reserve(READ_SIZE);
-        self.link.stream.read_buf(&mut self.link.buffer).await.map_err(LinkError::Cut)
+        self.link.stream.read_buf(&mut self.link.buffer).await.map_err(LinkError::Interrupted)
     }
 
     /// The link, if its answer was read whole and it can carry another request.
     pub fn into_idle(self) -> Option<IdleLink> {
-        let whole = matches!(self.framing, BodyFraming::Over);
+        let whole = matches!(self.framing, BodyFraming::Complete);
         let mut link = self.link;
         if !whole || !self.reusable || !link.buffer.is_empty() {
             return None;
@@ -292,13 +292,13 @@
     /// An endpoint that answered an earlier request twice leaves the second answer where the next
     /// one is expected. Giving up here would lose a request that must not repeat, although its own
     /// answer comes right after.
-    pub fn into_waiting(self, codec: &HttpCodec) -> Option<SentLink> {
-        let whole = matches!(self.framing, BodyFraming::Over);
+    pub fn await_next_answer(self, codec: &HttpCodec) -> Option<SentLink> {
+        let whole = matches!(self.framing, BodyFraming::Complete);
         (whole && self.reusable).then(|| SentLink {
             link: self.link,
             coder: ClientCodec::new(codec.config.clone()),
             unsent: BytesMut::new(),
-            byte_left: true,
+            may_have_sent: true,
             head_only: false,
         })
     }
--- a/crates/outlet/src/pool.rs
+++ b/crates/outlet/src/pool.rs
@@ -22,7 +22,7 @@
     pub fn take(&mut self, instance: &InstanceId) -> Option<IdleLink> {
         let links = self.links.get_mut(instance)?;
         while let Some(pooled) = links.pop() {
-            if pooled.link.idle_for() < pooled.keep && pooled.link.is_quiet() {
+            if pooled.link.idle_for() < pooled.keep && pooled.link.is_reusable() {
                 return Some(pooled.link);
             }
         }
@@ -46,7 +46,7 @@
     pub fn sweep(&mut self, stays: impl Fn(&InstanceId) -> bool) {
         self.links.retain(|instance, links| {
             links.retain(|pooled| {
-                pooled.link.idle_for() < pooled.keep && pooled.link.is_quiet() && stays(instance)
+                pooled.link.idle_for() < pooled.keep && pooled.link.is_reusable() && stays(instance)
             });
             !links.is_empty()
         });
--- a/crates/outlet/src/socket.rs
+++ b/crates/outlet/src/socket.rs
@@ -16,11 +16,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SocketBounds {
     /// Idle time before the first probe, and between probes.
-    pub probe_every: Duration,
+    pub probe_period: Duration,
     /// Probes without an answer before the connection counts as dead.
     pub probes: u32,
     /// How long written bytes may stay unacknowledged.
-    pub unacked: Duration,
+    pub unacked_timeout: Duration,
 }
 
 impl Default for SocketBounds {
@@ -28,9 +28,9 @@
     /// the other half is left for another endpoint.
     fn default() -> Self {
         SocketBounds {
-            probe_every: Duration::from_secs(1),
+            probe_period: Duration::from_secs(1),
             probes: 2,
-            unacked: Duration::from_secs(3),
+            unacked_timeout: Duration::from_secs(3),
         }
     }
 }
@@ -39,15 +39,15 @@
 ///
 /// # Errors
 /// The system's.
-pub fn tune_socket(stream: &TcpStream, bounds: SocketBounds) -> std::io::Result<()> {
+pub fn configure_socket(stream: &TcpStream, bounds: SocketBounds) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let probes = TcpKeepalive::new()
-        .with_time(bounds.probe_every)
-        .with_interval(bounds.probe_every)
+        .with_time(bounds.probe_period)
+        .with_interval(bounds.probe_period)
         .with_retries(bounds.probes);
     let socket = SockRef::from(stream);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(bounds.unacked))
+    socket.set_tcp_user_timeout(Some(bounds.unacked_timeout))
 }
 
 /// Listens at `address`. The address may be taken again right after an earlier process ended.
--- a/crates/wire/src/hub.rs
+++ b/crates/wire/src/hub.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use futures_util::{SinkExt, StreamExt};
 use oleander_kind::TimeSpan;
-use oleander_outlet::{SocketBounds, tune_socket};
+use oleander_outlet::{SocketBounds, configure_socket};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::cell::{Cell, RefCell};
@@ -187,7 +187,7 @@
     let unreached = || WireError::Unreached(address.to_owned());
     let connecting = actix_rt::time::timeout(CONNECT_LIMIT, TcpStream::connect(address)).await;
     let stream = connecting.map_err(|_| unreached())?.map_err(|_| unreached())?;
-    tune_socket(&stream, SocketBounds::default()).map_err(|_| unreached())?;
+    configure_socket(&stream, SocketBounds::default()).map_err(|_| unreached())?;
     let url = format!("ws://{address}/peer");
     let opening = tokio_tungstenite::client_async_with_config(url, stream, Some(link_config()));
     let opened = actix_rt::time::timeout(CONNECT_LIMIT, opening).await;
--- a/crates/wire/src/serve.rs
+++ b/crates/wire/src/serve.rs
@@ -4,7 +4,7 @@
 use crate::message::{PeerBody, encode_frame, read_frame};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use oleander_outlet::{SocketBounds, tune_socket};
+use oleander_outlet::{SocketBounds, configure_socket};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -71,7 +71,7 @@
                 Some(_) = links.join_next() => continue,
             };
             let Ok((stream, _)) = accepted else { continue };
-            if tune_socket(&stream, SocketBounds::default()).is_err() {
+            if configure_socket(&stream, SocketBounds::default()).is_err() {
                 continue;
             }
             links.spawn_local(serve_link(stream, handler.clone(), traffic.clone()));
--- a/tests/all/outlet.rs
+++ b/tests/all/outlet.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_whole_answer_leaves_a_link_that_can_be_used_again() {
+fn a_complete_answer_leaves_a_reusable_link() {
     run(async {
         let answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
         let endpoint = scripted(vec![vec![say(answer)]]).await;
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_answer_that_ends_early_is_cut_however_it_is_framed() {
+fn an_answer_that_ends_early_is_an_error_in_any_framing() {
     // The caller must not take half an answer for a whole one. The endpoint closes before the
     // length is reached, or before the last chunk.
     run(async {
@@ -73,7 +73,7 @@
 
             let outcome = exchange(open(endpoint.address).await, b"").await;
 
-            assert!(matches!(outcome, Err(LinkError::Cut(_))), "{answer}");
+            assert!(matches!(outcome, Err(LinkError::Interrupted(_))), "{answer}");
         }
     });
 }
@@ -92,12 +92,12 @@
 
         assert_eq!(body, b"hello");
         assert!(link.is_none());
-        assert!(matches!(cut, Err(LinkError::Cut(_))));
+        assert!(matches!(cut, Err(LinkError::Interrupted(_))));
     });
 }
 
 #[test]
-fn a_link_with_bytes_that_nobody_asked_for_is_not_used_again() {
+fn a_link_with_unread_bytes_is_not_reused() {
     // The next caller would get the answer of another. The endpoint answers one request twice.
     run(async {
         let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -106,12 +106,12 @@
         let (body, link) = exchange(open(endpoint.address).await, b"").await.expect("whole");
 
         assert_eq!(body, b"ok");
-        assert!(link.is_none_or(|link| !link.is_quiet()));
+        assert!(link.is_none_or(|link| !link.is_reusable()));
     });
 }
 
 #[test]
-fn an_answer_before_the_whole_body_was_read_spoils_the_link() {
+fn an_answer_before_the_body_was_read_makes_the_link_unusable() {
     // The endpoint rejects a long request before it has read it and keeps the connection. The rest
     // of the body would be taken for the next request.
     run(async {
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_request_that_met_nobody_has_not_left() {
+fn a_refused_connection_sends_no_request() {
     run(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -140,12 +140,12 @@
 
         let outcome = IdleLink::open(address, LIMIT, SocketBounds::default()).await;
 
-        assert!(matches!(outcome, Err(LinkError::Unreached(_))));
+        assert!(matches!(outcome, Err(LinkError::ConnectFailed(_))));
     });
 }
 
 #[test]
-fn a_kept_link_that_its_endpoint_closed_is_not_taken_from_the_pool() {
+fn the_pool_never_returns_a_closed_link() {
     // A request sent on it would be lost in doubt: nobody could say whether it ran.
     run(async {
         let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -154,7 +154,7 @@
         let mut pool = LinkPool::default();
         let instance = InstanceId::from("i-1");
         let link = link.expect("nothing told of the end");
-        while link.is_quiet() {
+        while link.is_reusable() {
             tokio::task::yield_now().await;
         }
 
