--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// The system's.
-    pub fn begin(&mut self, status: StatusCode, headers: HeaderMap) -> io::Result<()> {
+    pub fn begin_stream(&mut self, status: StatusCode, headers: HeaderMap) -> io::Result<()> {
         self.encode_head(status, headers, BodySize::Stream)
     }
 
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// The system's; the caller is gone then.
-    pub async fn piece(&mut self, bytes: Bytes) -> io::Result<()> {
+    pub async fn write_chunk(&mut self, bytes: Bytes) -> io::Result<()> {
         self.codec.encode(Message::Chunk(Some(bytes)), &mut self.out)?;
         self.flush().await
     }
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     /// The system's.
-    pub async fn whole(
+    pub async fn write_whole(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
@@ -150,11 +150,11 @@
         let body = serde_json::json!({
             "code": code.number(), "name": code.name(), "error": code.text(),
         });
-        self.whole(status, headers, Bytes::from(body.to_string())).await
+        self.write_whole(status, headers, Bytes::from(body.to_string())).await
     }
 
     /// Whether the connection may carry another request.
-    pub fn keeps_open(&self) -> bool {
+    pub fn can_reuse(&self) -> bool {
         self.stage == AnswerStage::Done && !self.closes && self.codec.keep_alive()
     }
 
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt at one endpoint: a connection, the request on it, and the answer that came.
 
-use crate::drive::{AttemptOutcome, CallRun};
+use crate::drive::{AttemptOutcome, CallContext};
 use crate::events::event;
 use crate::suspects::BrokenAttempt;
-use crate::work::{FirstWait, WorkGuard};
+use crate::work::{AnswerWait, WorkGuard};
 use crate::{releases, stream, suspects, whole, words};
 use actix_http::{RequestHead, ResponseHead, Version};
 use compact_str::CompactString;
@@ -20,18 +20,18 @@
 
 /// Time to make a connection to an endpoint: a lost opening packet is sent again after a second,
 /// and by then another endpoint has answered.
-pub(crate) const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long an idle connection to an endpoint is kept if the endpoint does not say.
-pub(crate) const IDLE_KEPT: Duration = Duration::from_millis(2000);
+pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// The part of an endpoint's own idle time that is used, so that it does not close a connection
 /// while a request is on its way on it.
-const IDLE_PART: f64 = 0.6;
+const IDLE_FRACTION: f64 = 0.6;
 /// The most idle connections to one endpoint.
-pub(crate) const IDLE_MOST: usize = 32;
+pub(crate) const MAX_IDLE_LINKS: usize = 32;
 
 /// A kept connection that its endpoint had closed already ends within this time: two crossings of failure
 /// domains take 3 ms, and the shortest work of an endpoint some 15.
-const CLOSING_RACE: Duration = Duration::from_millis(8);
+const STALE_LINK_WINDOW: Duration = Duration::from_millis(8);
 
 /// What an attempt needs to know of its endpoint.
 struct AttemptTarget {
@@ -41,15 +41,17 @@
     version: CompactString,
 }
 
-impl CallRun<'_, '_> {
+impl CallContext<'_, '_> {
     /// Makes an attempt at the endpoint chosen.
     pub async fn attempt(&mut self, choice: PlaceChoice) -> AttemptOutcome {
-        let Some(target) = self.target(choice.key).filter(|_| self.take_turn(choice.key)) else {
+        let Some(target) =
+            self.target(choice.key).filter(|_| self.spend_endpoint_limit(choice.key))
+        else {
             return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
         };
         self.current = Some(target.key);
         self.endpoint = Some(target.life.instance.clone());
-        self.ran_at = Some((target.life.clone(), target.address));
+        self.last_target = Some((target.life.clone(), target.address));
         self.sent_at = None;
         self.chosen = Some(choice);
         self.note_list_age();
@@ -58,14 +60,16 @@
             self.node.note_demand(&self.service, |demand| demand.sent += 1);
         }
         let route = releases::told_route(self.node, &self.service, &self.route().name);
-        let waits = (self.first_wait(&choice), route);
+        let waits = (self.expected_wait(&choice), route);
         let mut work = WorkGuard::begin(self.node, target.key, choice.unread, waits);
-        let outcome = self.attempt_at(&target, &mut work).await;
+        let outcome = self.send_and_read(&target, &mut work).await;
         self.current = None;
         self.count_version(&target, &outcome);
         match &outcome {
-            AttemptOutcome::Delivered => suspects::note_answer(self.node, self.print),
-            AttemptOutcome::Ended(end, _) if !work.is_borne() => self.note_broken(target.key, *end),
+            AttemptOutcome::Delivered => suspects::note_answer(self.node, self.fingerprint),
+            AttemptOutcome::Ended(end, _) if !work.has_survived() => {
+                self.note_broken(target.key, *end)
+            }
             AttemptOutcome::Ended(..) | AttemptOutcome::CallerGone => {}
         }
         outcome
@@ -74,7 +78,8 @@
     /// Notes an attempt that broke: its endpoint may have ended under the request. One that said that it leaves
     /// ends whatever it runs.
     pub(crate) fn note_broken(&self, key: EndpointKey, end: AttemptEnd) {
-        let (Some((life, address)), Some(sent_at)) = (self.ran_at.clone(), self.sent_at) else {
+        let (Some((life, address)), Some(sent_at)) = (self.last_target.clone(), self.sent_at)
+        else {
             return;
         };
         let (takes_work, lived_at) = {
@@ -96,13 +101,13 @@
         let times = BrokenTimes { sent_at: at - ran, lived_at, at };
         let may_look = was_cut && takes_work.is_some();
         let broken = BrokenAttempt { life, address, times, may_look };
-        suspects::note_broken(self.node, self.print, broken);
+        suspects::note_broken(self.node, self.fingerprint, broken);
     }
 
-    fn first_wait(&self, choice: &PlaceChoice) -> FirstWait {
+    fn expected_wait(&self, choice: &PlaceChoice) -> AnswerWait {
         let read_per_ms = self.node.read_per_ms(&self.service);
         let expected = expected_first(choice, self.is_engine(), read_per_ms);
-        FirstWait { expected, objective: self.route().objective }
+        AnswerWait { expected, objective: self.route().objective }
     }
 
     /// Counts what the request asks of its service, of which `unread` tokens of its prompt have to be read.
@@ -122,8 +127,8 @@
     /// Failures that an endpoint made itself count, and so do answers that were lost on the way: it has done
     /// the work. Without these, usage was told 8 to 15 in 100 too low while all endpoints failed half of
     /// their requests, or lost a quarter of their answers.
-    pub fn note_began(&mut self, ago: Duration) {
-        if std::mem::replace(&mut self.has_begun, true) {
+    pub fn record_usage(&mut self, ago: Duration) {
+        if std::mem::replace(&mut self.usage_recorded, true) {
             return;
         }
         if let Some(account) = &self.account {
@@ -167,13 +172,17 @@
     }
 
     /// Takes this process's next request of a limited endpoint; says whether there is one.
-    fn take_turn(&self, key: EndpointKey) -> bool {
+    fn spend_endpoint_limit(&self, key: EndpointKey) -> bool {
         let now = self.node.clock.lease_now();
         let mut board = self.node.endpoints.borrow_mut();
         board.get_mut(key).is_some_and(|fact| fact.said.take_turn(now))
     }
 
-    async fn attempt_at(&mut self, target: &AttemptTarget, work: &mut WorkGuard) -> AttemptOutcome {
+    async fn send_and_read(
+        &mut self,
+        target: &AttemptTarget,
+        work: &mut WorkGuard,
+    ) -> AttemptOutcome {
         let (mut sent, reused) = match self.send(target).await {
             Ok(sent) => sent,
             Err(fault) => {
@@ -182,17 +191,17 @@
                 return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
             }
         };
-        let limit = self.first_limit();
+        let limit = self.first_chunk_deadline();
         let sent_at = Instant::now();
         self.sent_at = Some(sent_at);
-        match self.read_own_head(target.key, &mut sent, limit).await {
+        match self.read_matching_head(target.key, &mut sent, limit).await {
             Ok((sent, head, mark)) => {
-                self.node.meter.count_unread(work.unread_tokens());
+                self.node.meter.count_unread_tokens(work.unread_tokens());
                 let begins_later = mark.is_success() && self.route().shape == AnswerShape::Events;
                 if !mark.not_run && !begins_later {
-                    self.note_began(sent_at.elapsed());
+                    self.record_usage(sent_at.elapsed());
                 }
-                self.take_answer(target, work, sent, (head, mark)).await
+                self.handle_answer(target, work, sent, (head, mark)).await
             }
             Err(fault) => {
                 let byte_left = sent.is_none_or(|sent| sent.byte_left());
@@ -212,10 +221,10 @@
                 if end != AttemptEnd::NotSent || !reused {
                     self.tried.push(target.key);
                 }
-                let closed_for_age = reused && sent_at.elapsed() < CLOSING_RACE;
+                let closed_for_age = reused && sent_at.elapsed() < STALE_LINK_WINDOW;
                 if end == AttemptEnd::Broken && !closed_for_age {
                     // The endpoint had the request and closed: its answer is lost, not its work.
-                    self.note_began(sent_at.elapsed());
+                    self.record_usage(sent_at.elapsed());
                 }
                 AttemptOutcome::Ended(end, None)
             }
@@ -230,7 +239,9 @@
         let reused = kept.is_some();
         let link = match kept {
             Some(link) => link,
-            None => IdleLink::open(target.address, CONNECT_LIMIT, SocketBounds::default()).await?,
+            None => {
+                IdleLink::open(target.address, CONNECT_TIMEOUT, SocketBounds::default()).await?
+            }
         };
         let head = self.request_head(target);
         let sent = link.send(&self.node.http, head, self.body.clone())?;
@@ -250,7 +261,7 @@
         let stamp = AttemptStamp {
             instance: target.life.instance.clone(),
             account: self.account.clone(),
-            left: self.left(),
+            left: self.time_left(),
             last_event: self.last_event,
             rank: self.is_engine().then_some(self.rank),
         };
@@ -258,7 +269,7 @@
         head
     }
 
-    fn left(&self) -> TimeSpan {
+    fn time_left(&self) -> TimeSpan {
         let left = self.deadline.saturating_duration_since(Instant::now());
         TimeSpan(left.as_millis() as u64)
     }
@@ -268,38 +279,38 @@
     /// Where another attempt is allowed, an endpoint that hangs is given up after a few times the
     /// objective: late for this caller, but in time to be served. Where none is, waiting costs
     /// nothing and the answer may still come.
-    pub fn first_limit(&self) -> Instant {
+    pub fn first_chunk_deadline(&self) -> Instant {
         /// Times the objective; a queue of that length is no sign of a dead endpoint yet.
-        const PATIENCE: u32 = 3;
+        const OBJECTIVES_WAITED: u32 = 3;
         let route = self.route();
         let last = self.record.sent() + 1 >= route.most_attempts;
         if last || route.repeat == RepeatRule::Once {
             return self.deadline;
         }
-        self.deadline.min(Instant::now() + route.objective.duration() * PATIENCE)
+        self.deadline.min(Instant::now() + route.objective.duration() * OBJECTIVES_WAITED)
     }
 
     /// Reads heads until one belongs to this request. `slot` is empty after an error that used the
     /// link up.
-    async fn read_own_head(
+    async fn read_matching_head(
         &mut self,
         key: EndpointKey,
         slot: &mut Option<SentLink>,
         limit: Instant,
     ) -> oleander_outlet::Result<(SentLink, ResponseHead, AnswerMark)> {
         /// Foreign answers that are read away; an endpoint that sends more is broken.
-        const MOST_FOREIGN: u32 = 2;
+        const MAX_FOREIGN: u32 = 2;
         let began = Instant::now();
         let asked_at = self.node.clock.now();
         let late = |_| LinkError::Late(began.elapsed());
-        let spent = || LinkError::Malformed("answers to other requests".to_owned());
+        let exhausted = || LinkError::Malformed("answers to other requests".to_owned());
         let ended = || LinkError::Cut(io::ErrorKind::ConnectionReset.into());
-        for _ in 0..=MOST_FOREIGN {
-            let sent = slot.as_mut().ok_or_else(spent)?;
+        for _ in 0..=MAX_FOREIGN {
+            let sent = slot.as_mut().ok_or_else(exhausted)?;
             let reading = self.node.while_lives(key, sent.read_head());
             let head = timeout_at(limit, reading).await.map_err(late)?.ok_or_else(ended)??;
-            let mark = self.node.dialect.read_answer(&head);
-            let sent = slot.take().ok_or_else(spent)?;
+            let mark = self.node.dialect.parse_answer(&head);
+            let sent = slot.take().ok_or_else(exhausted)?;
             words::hear(self.node, (key, &mark), (&self.call.id, asked_at));
             if mark.belongs_to(&self.call.id) {
                 return Ok((sent, head, mark));
@@ -312,10 +323,10 @@
             timeout_at(limit, reading).await.map_err(late)??;
             *slot = foreign.into_waiting(&self.node.http);
         }
-        Err(spent())
+        Err(exhausted())
     }
 
-    async fn take_answer(
+    async fn handle_answer(
         &mut self,
         target: &AttemptTarget,
         work: &mut WorkGuard,
@@ -331,14 +342,14 @@
         let asks_for_rest = matches!(mark.rest, SaidWord::Said(_));
         let body = sent.into_body(&head);
         let (outcome, link) = if events {
-            stream::pass_events(self, body, head, work).await
+            stream::forward_events(self, body, head, work).await
         } else {
-            whole::pass_whole(self, body, head, &mark, target.key).await
+            whole::forward_whole(self, body, head, &mark, target.key).await
         };
         match &outcome {
             AttemptOutcome::Delivered => {
                 self.grade(target.key, AnswerGrade::Good);
-                work.answered();
+                work.note_answered();
             }
             AttemptOutcome::CallerGone => {}
             // It is sound, and says when it takes requests again.
@@ -353,9 +364,9 @@
         // A connection to a life that has ended since is of no use to the next one.
         let lives = self.node.endpoints.borrow().get(target.key).is_some();
         if let Some(link) = link.filter(|_| lives) {
-            let said = mark.keeps_idle.map(|span| span.duration().mul_f64(IDLE_PART));
-            let keep = said.unwrap_or(IDLE_KEPT);
-            self.node.pool.borrow_mut().put(&target.life.instance, link, keep, IDLE_MOST);
+            let said = mark.keeps_idle.map(|span| span.duration().mul_f64(IDLE_FRACTION));
+            let keep = said.unwrap_or(IDLE_TIMEOUT);
+            self.node.pool.borrow_mut().put(&target.life.instance, link, keep, MAX_IDLE_LINKS);
         }
         outcome
     }
@@ -363,7 +374,7 @@
     /// Notes a failure of the endpoint, for this process and for all.
     fn note_failure(&self, target: &AttemptTarget, work: &mut WorkGuard, grade: AnswerGrade) {
         self.grade(target.key, grade);
-        work.failed();
+        work.note_failed();
     }
 
     fn note_fault(&self, target: &AttemptTarget, work: &mut WorkGuard, fault: &LinkError) {
--- a/crates/front/src/closed.rs
+++ b/crates/front/src/closed.rs
@@ -3,38 +3,38 @@
 //! They are refused at once, as nothing here makes an endpoint open sooner, and their callers are told when one does.
 
 use crate::answer::AnswerStage;
-use crate::drive::{CallOutcome, CallRun, call_salt};
+use crate::drive::{CallContext, CallOutcome, call_salt};
 use crate::events::event;
 use oleander_kind::{ResultCode, TimeSpan};
 use oleander_place::{OwnWords, opens_in};
 
 /// The shortest time after which a caller may come back whom what endpoints said of themselves had refused.
-const SHORTEST_OPENING: TimeSpan = TimeSpan(100);
+const MIN_RETRY_AFTER: TimeSpan = TimeSpan(100);
 
 /// When a caller may come back whom an endpoint turned away that rests from now on, while others are open: its next request
 /// goes to one of those.
-const ELSEWHERE_RETURN: TimeSpan = TimeSpan(20);
+const ELSEWHERE_RETRY_AFTER: TimeSpan = TimeSpan(20);
 
-impl CallRun<'_, '_> {
+impl CallContext<'_, '_> {
     /// Refuses a request that no endpoint may be sent now.
     pub(crate) async fn refuse_unplaced(&mut self) -> CallOutcome {
-        match self.opens_in() {
-            Some(back_in) if self.is_refusable() => {
-                self.tell_closed(back_in);
+        match self.reopens_in() {
+            Some(retry_in) if self.may_refuse() => {
+                self.log_closed(retry_in);
                 if self.record.sent() == 0 {
                     self.note_demand(self.call.tokens.unwrap_or_default().prompt);
                 }
-                self.answer.refuse(ResultCode::EndpointsFull, Some(back_in)).await
+                self.answer.refuse(ResultCode::EndpointsFull, Some(retry_in)).await
             }
-            None if self.is_refusable() && self.was_asked_for_rest() => {
-                self.answer.refuse(ResultCode::NoEndpoint, Some(ELSEWHERE_RETURN)).await
+            None if self.may_refuse() && self.can_go_elsewhere() => {
+                self.answer.refuse(ResultCode::NoEndpoint, Some(ELSEWHERE_RETRY_AFTER)).await
             }
             _ => self.give_up(ResultCode::NoEndpoint).await,
         }
     }
 
     /// Logs what endpoints said that keeps the request from them.
-    fn tell_closed(&self, back_in: TimeSpan) {
+    fn log_closed(&self, retry_in: TimeSpan) {
         let now = self.node.clock.lease_now();
         let board = self.node.endpoints.borrow();
         let keys = board.of_service(&self.service).iter();
@@ -48,11 +48,11 @@
             "with_part" => count(&|said| said.bucket.per_s(now).is_some()),
             "resting" => count(&|said| now < said.rests_until),
             "leaving" => count(&|said| said.leaves), "tried" => self.tried.len(),
-            "retry_ms" => back_in.0);
+            "retry_ms" => retry_in.0);
     }
 
     /// Whether the endpoint of the last attempt turned it away for a while, and another one is open.
-    fn was_asked_for_rest(&self) -> bool {
+    fn can_go_elsewhere(&self) -> bool {
         let now = self.node.clock.lease_now();
         let board = self.node.endpoints.borrow();
         let last = self.tried.last().and_then(|key| board.get(*key));
@@ -60,15 +60,15 @@
     }
 
     /// Whether "not run" would be true, and nothing of an answer has left.
-    fn is_refusable(&self) -> bool {
+    fn may_refuse(&self) -> bool {
         !self.record.may_have_run() && self.answer.stage() == AnswerStage::Waiting
     }
 
     /// When the caller may come back, if nothing but what endpoints said of themselves keeps the request from one. Those
     /// who are refused together do not come back together.
-    fn opens_in(&self) -> Option<TimeSpan> {
+    fn reopens_in(&self) -> Option<TimeSpan> {
         let wait = opens_in(&self.node.endpoints.borrow(), &self.place_ask())?;
-        let wait = wait.max(SHORTEST_OPENING);
+        let wait = wait.max(MIN_RETRY_AFTER);
         Some(wait + TimeSpan(call_salt(&self.call) % wait.0))
     }
 }
--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -32,10 +32,10 @@
 
 /// When a caller that was refused for want of an endpoint may come back: a lost endpoint is replaced
 /// or found again within about this time.
-const RETURN_TIME: TimeSpan = TimeSpan(300);
+const NO_ENDPOINT_RETRY: TimeSpan = TimeSpan(300);
 
 /// When a caller that met a stopping process may come back: its next connection goes elsewhere.
-const LEAVING_RETURN: TimeSpan = TimeSpan(20);
+const DRAINING_RETRY: TimeSpan = TimeSpan(20);
 
 /// How the request is seen by its caller: an error means that the connection must be closed.
 pub type CallOutcome = io::Result<()>;
@@ -47,11 +47,11 @@
     /// The caller is gone, or its answer was cut for good.
     CallerGone,
     /// Another attempt may follow; with the endpoint's own answer, if it made one.
-    Ended(AttemptEnd, Option<OwnAnswer>),
+    Ended(AttemptEnd, Option<EndpointAnswer>),
 }
 
 /// A whole answer that an endpoint made, held back while another attempt is weighed.
-pub struct OwnAnswer {
+pub struct EndpointAnswer {
     /// Status.
     pub status: StatusCode,
     /// Headers, for the caller.
@@ -61,7 +61,7 @@
 }
 
 /// One request under way.
-pub struct CallRun<'a, 'b> {
+pub struct CallContext<'a, 'b> {
     /// The process.
     pub node: &'a Rc<FrontNode>,
     /// The caller's side.
@@ -71,9 +71,9 @@
     /// What each attempt takes of its account's limit.
     pub(crate) payment: Option<Payment>,
     /// What tells that it is the same as another.
-    pub print: RequestPrint,
+    pub fingerprint: RequestPrint,
     /// What it paid to go to the version under the order of a roll-out; none if it goes to those that serve.
-    pub(crate) trial: Option<TriedPayment>,
+    pub(crate) rollout_payment: Option<TriedPayment>,
     /// When it must be answered.
     pub deadline: Instant,
     /// The last event that its caller has.
@@ -91,21 +91,21 @@
     /// The endpoint of the last attempt.
     pub(crate) endpoint: Option<InstanceId>,
     /// Its life, and where it listens.
-    pub(crate) ran_at: Option<(EndedLife, SocketAddr)>,
+    pub(crate) last_target: Option<(EndedLife, SocketAddr)>,
     /// What the last choice of an endpoint went by.
     pub(crate) chosen: Option<PlaceChoice>,
     /// How old the endpoint list was then.
     pub(crate) list_age: Option<TimeSpan>,
     /// Whether it is known to have begun to run.
-    pub(crate) has_begun: bool,
+    pub(crate) usage_recorded: bool,
     /// When the request was last sent.
     pub(crate) sent_at: Option<Instant>,
     /// When the first part of an answer reached this process.
-    pub(crate) first_at: Option<Instant>,
+    pub(crate) first_chunk_at: Option<Instant>,
     /// When the last piece of a stream reached this process.
-    pub(crate) piece_at: Option<Instant>,
+    pub(crate) last_chunk_at: Option<Instant>,
     /// The longest pause between two pieces.
-    pub(crate) pause: Option<TimeSpan>,
+    pub(crate) longest_pause: Option<TimeSpan>,
 }
 
 /// Answers one request, and tells of it.
@@ -119,7 +119,7 @@
 ) -> CallOutcome {
     let mut trace = TraceGuard::new(node);
     let outcome = answer_call(node, request, answer, &mut trace.trace).await;
-    trace.tell(answer, &outcome);
+    trace.finish(answer, &outcome);
     outcome
 }
 
@@ -130,7 +130,7 @@
     trace: &mut CallTrace,
 ) -> CallOutcome {
     let arrived = trace.arrived;
-    let call = match node.dialect.read_call(&request.head) {
+    let call = match node.dialect.parse_request(&request.head) {
         Ok(call) => call,
         Err(code) => return answer.refuse(code, None).await,
     };
@@ -141,25 +141,25 @@
     trace.fresh = view.fresh;
     let admitted = match admit_call(view, &call) {
         Ok(admitted) => admitted,
-        Err(code) => return answer.refuse(code, return_time(code)).await,
+        Err(code) => return answer.refuse(code, retry_after(code)).await,
     };
     let Some(rules) = rules else {
-        return answer.refuse(ResultCode::NoBundle, Some(RETURN_TIME)).await;
+        return answer.refuse(ResultCode::NoBundle, Some(NO_ENDPOINT_RETRY)).await;
     };
     let route = rules.route(admitted.route);
     if node.stop.get() == StopStage::Draining {
         // It would outlast the process. The balancer sends the next connection elsewhere.
         answer.close_after();
-        return answer.refuse(ResultCode::Draining, Some(LEAVING_RETURN)).await;
+        return answer.refuse(ResultCode::Draining, Some(DRAINING_RETRY)).await;
     }
     let Some(service) = route.service_for(call_salt(&call)).cloned() else {
-        return answer.refuse(ResultCode::NoEndpoint, Some(RETURN_TIME)).await;
+        return answer.refuse(ResultCode::NoEndpoint, Some(NO_ENDPOINT_RETRY)).await;
     };
     trace.service = service.0.clone();
     let account = admitted.account.map(|key| rules.account(key));
-    let print = print_of(account, &call, &request);
-    trace.print = Some(print);
-    if let Some(left) = suspects::held_for(node, &print) {
+    let fingerprint = request_fingerprint(account, &call, &request);
+    trace.fingerprint = Some(fingerprint);
+    if let Some(left) = suspects::held_for(node, &fingerprint) {
         return answer.refuse(ResultCode::RequestHeld, Some(left)).await;
     }
     let payment = account.and_then(|account| Payment::of(node, account, &call));
@@ -171,15 +171,15 @@
     let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
     node.dialect.strip_request(&mut request.head.headers);
     node.earn_retry(&service);
-    let mut run = CallRun {
+    let mut context = CallContext {
         node,
         answer,
         deadline: arrived + patience.duration(),
         last_event: call.last_event,
         call,
         payment,
-        trial: None,
-        print,
+        rollout_payment: None,
+        fingerprint,
         rank: account.and_then(|account| account.rank).unwrap_or(route.rank),
         account: account.map(|account| account.name.clone()),
         record: AttemptRecord::new(route.repeat, route.most_attempts),
@@ -191,25 +191,25 @@
         tried: Vec::new(),
         current: None,
         endpoint: None,
-        ran_at: None,
+        last_target: None,
         chosen: None,
         list_age: None,
-        has_begun: false,
+        usage_recorded: false,
         sent_at: None,
-        first_at: None,
-        piece_at: None,
-        pause: None,
+        first_chunk_at: None,
+        last_chunk_at: None,
+        longest_pause: None,
     };
-    let outcome = match timeout_at(run.deadline, run.run()).await {
+    let outcome = match timeout_at(context.deadline, context.serve()).await {
         Ok(outcome) => outcome,
-        Err(_) => run.expire().await,
+        Err(_) => context.expire().await,
     };
-    run.give_back();
-    run.note_trace(trace);
+    context.refund_unused();
+    context.note_trace(trace);
     outcome
 }
 
-fn print_of(
+fn request_fingerprint(
     account: Option<&AccountRule>,
     call: &CallHead,
     request: &CallerRequest,
@@ -225,49 +225,49 @@
 }
 
 /// When a refused caller may come back; none for refusals that are final.
-fn return_time(code: ResultCode) -> Option<TimeSpan> {
-    (code.status() == StatusCode::SERVICE_UNAVAILABLE.as_u16()).then_some(RETURN_TIME)
+fn retry_after(code: ResultCode) -> Option<TimeSpan> {
+    (code.status() == StatusCode::SERVICE_UNAVAILABLE.as_u16()).then_some(NO_ENDPOINT_RETRY)
 }
 
 pub(crate) fn call_salt(call: &CallHead) -> u64 {
     mix_bits(stable_hash(HASH_START, call.id.as_bytes()))
 }
 
-impl CallRun<'_, '_> {
+impl CallContext<'_, '_> {
     /// The request's route.
     pub fn route(&self) -> &RouteRule {
         self.rules.route(self.route)
     }
 
     fn note_trace(&self, trace: &mut CallTrace) {
-        trace.sent = self.record.sent() + u32::from(self.first_at.is_some());
+        trace.sent = self.record.sent() + u32::from(self.first_chunk_at.is_some());
         trace.may_have_run = self.record.may_have_run() || self.current.is_some();
         trace.endpoint = self.endpoint.clone();
         trace.chosen = self.chosen;
         trace.list_age = self.list_age;
         trace.last_event = self.last_event;
-        trace.pause = self.pause;
+        trace.longest_pause = self.longest_pause;
         trace.first_ms =
-            self.first_at.map(|at| at.duration_since(trace.arrived).as_millis() as u64);
+            self.first_chunk_at.map(|at| at.duration_since(trace.arrived).as_millis() as u64);
     }
 
-    async fn run(&mut self) -> CallOutcome {
+    async fn serve(&mut self) -> CallOutcome {
         loop {
             let Some(choice) = self.choose_lane().await else {
                 return self.refuse_unplaced().await;
             };
-            if let Some(back_in) = self.overloaded(&choice) {
+            if let Some(retry_in) = self.overload_retry_after(&choice) {
                 // What is refused is needed all the same: more endpoints are ordered for it.
                 self.note_demand(choice.unread);
                 self.chosen = Some(choice);
-                return self.answer.refuse(ResultCode::Overloaded, Some(back_in)).await;
+                return self.answer.refuse(ResultCode::Overloaded, Some(retry_in)).await;
             }
             match self.attempt(choice).await {
                 AttemptOutcome::Delivered => return Ok(()),
                 AttemptOutcome::CallerGone => return Err(io::ErrorKind::ConnectionAborted.into()),
-                AttemptOutcome::Ended(end, own) => {
+                AttemptOutcome::Ended(end, received) => {
                     self.leave_lane(end);
-                    if let Some(outcome) = self.after(end, own).await {
+                    if let Some(outcome) = self.decide_next(end, received).await {
                         return outcome;
                     }
                 }
@@ -286,8 +286,8 @@
     }
 
     /// Gives back what was paid for a request that certainly did not run.
-    fn give_back(&self) {
-        let is_answered = self.first_at.is_some();
+    fn refund_unused(&self) {
+        let is_answered = self.first_chunk_at.is_some();
         let has_run = is_answered || self.record.may_have_run() || self.current.is_some();
         if let Some(payment) = self.payment.as_ref().filter(|_| !has_run) {
             limits::give_back(self.node, payment);
@@ -295,10 +295,14 @@
     }
 
     /// Judges an attempt that ended; an outcome if the request is over.
-    async fn after(&mut self, end: AttemptEnd, own: Option<OwnAnswer>) -> Option<CallOutcome> {
+    async fn decide_next(
+        &mut self,
+        end: AttemptEnd,
+        received: Option<EndpointAnswer>,
+    ) -> Option<CallOutcome> {
         self.record.note(end);
         let again = self.record.may_send()
-            && suspects::held_for(self.node, &self.print).is_none()
+            && suspects::held_for(self.node, &self.fingerprint).is_none()
             && self.choose().is_some()
             && (self.record.sent() == 0 || self.node.spend_retry(&self.service))
             && self.pay_again(end).await;
@@ -307,13 +311,15 @@
             "request" => self.call.id.as_str(),
             "endpoint" => self.endpoint.as_ref().map(|id| id.as_str()),
             "end" => end.name(), "sent" => self.record.sent(), "last_event" => self.last_event,
-            "print" => self.print.to_string(),
+            "print" => self.fingerprint.to_string(),
             "ran_ms" => self.sent_at.map(|at| at.elapsed().as_millis() as u64),
             "again" => again, "list_ms" => self.list_age.map(|age| age.0));
-        match (self.record.next_step(end, again), own) {
+        match (self.record.next_step(end, again), received) {
             (NextStep::SendAgain, _) => None,
-            (NextStep::PassOn, Some(own)) if self.answer.stage() == AnswerStage::Waiting => {
-                Some(self.answer.whole(own.status, own.headers, own.body).await)
+            (NextStep::PassOn, Some(received)) if self.answer.stage() == AnswerStage::Waiting => {
+                Some(
+                    self.answer.write_whole(received.status, received.headers, received.body).await,
+                )
             }
             (NextStep::PassOn, _) => Some(self.give_up(ResultCode::Uncertain).await),
             (NextStep::GiveUp(ResultCode::NoEndpoint), _) => Some(self.refuse_unplaced().await),
@@ -332,14 +338,14 @@
         } else {
             code
         };
-        self.answer.refuse(code, return_time(code)).await
+        self.answer.refuse(code, retry_after(code)).await
     }
 
     /// The deadline passed.
     async fn expire(&mut self) -> CallOutcome {
         if let Some(key) = self.current {
             self.grade(key, AnswerGrade::Bad);
-            if self.piece_at.is_none() {
+            if self.last_chunk_at.is_none() {
                 self.note_broken(key, AttemptEnd::Silent);
             }
         }
@@ -364,7 +370,7 @@
             domain: &self.node.settings.domain,
             queue_limit: self.queue_limit(),
             read_per_ms: self.node.read_per_ms(&self.service),
-            is_trial: self.trial.is_some(),
+            is_trial: self.rollout_payment.is_some(),
             pause: self.route().pause,
             pause_weight: self.node.pause_weight(&self.service),
             repeatable: self.route().repeat.may_run_again(),
@@ -378,7 +384,7 @@
     pub(crate) fn note_list_age(&mut self) {
         self.list_age = self.node.roster_age();
         if let Some(age) = self.list_age {
-            self.node.meter.note_list_age(age.0 as f64);
+            self.node.meter.record_list_age(age.0 as f64);
         }
     }
 
@@ -388,7 +394,7 @@
 
     /// When the caller should come back if the service is overloaded. A stream that its caller has a
     /// part of is gone on with in any case: the part would be lost.
-    fn overloaded(&self, choice: &PlaceChoice) -> Option<TimeSpan> {
+    fn overload_retry_after(&self, choice: &PlaceChoice) -> Option<TimeSpan> {
         let fresh = self.record.sent() == 0 && self.last_event.is_none();
         if !fresh || !self.is_engine() {
             return None;
--- a/crates/front/src/ingress.rs
+++ b/crates/front/src/ingress.rs
@@ -29,7 +29,7 @@
 /// Bytes read at once.
 const READ_SIZE: usize = 4096;
 /// Bytes of following requests that are read while one is answered; more wait in the socket.
-const AHEAD_LIMIT: usize = 64 << 10;
+const PIPELINE_LIMIT: usize = 64 << 10;
 /// How long bytes of a refused request are still read, so that its caller sees the refusal instead
 /// of a reset.
 const LINGER_TIME: Duration = Duration::from_millis(500);
@@ -49,7 +49,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                actix_rt::spawn(serve_caller(node.clone(), stream));
+                actix_rt::spawn(serve_connection(node.clone(), stream));
             }
             Err(fault) => {
                 // Out of descriptors, most likely; those in use are given back within moments.
@@ -62,11 +62,11 @@
 
 enum HeadOutcome {
     Read(Request),
-    Ended,
+    Closed,
     Refused(ResultCode),
 }
 
-async fn serve_caller(node: Rc<FrontNode>, mut stream: TcpStream) {
+async fn serve_connection(node: Rc<FrontNode>, mut stream: TcpStream) {
     if let Err(fault) = tune_socket(&stream, SocketBounds::default()) {
         event!(node, CallerFault; "fault" => fault.to_string());
     }
@@ -77,7 +77,7 @@
         let outcome = read_head(&node, &mut stream, &mut codec, &mut buffer, bounds).await;
         let request = match outcome {
             HeadOutcome::Read(request) => request,
-            HeadOutcome::Ended => return,
+            HeadOutcome::Closed => return,
             HeadOutcome::Refused(code) => return refuse_and_close(stream, &mut codec, code).await,
         };
         let body = read_body(&mut stream, &mut codec, &mut buffer, &request, bounds).await;
@@ -105,14 +105,14 @@
     bounds: CallerBounds,
 ) -> HeadOutcome {
     if buffer.is_empty() && !wait_first_byte(node, stream, buffer, bounds).await {
-        return HeadOutcome::Ended;
+        return HeadOutcome::Closed;
     }
     let until = Instant::now() + bounds.head_time.duration();
     loop {
-        let held = buffer.len();
+        let buffered = buffer.len();
         match codec.decode(buffer) {
             Ok(Some(Message::Item(request))) => {
-                let too_long = held - buffer.len() > bounds.head_bytes;
+                let too_long = buffered - buffer.len() > bounds.head_bytes;
                 let upgrade = codec.message_type() == MessageType::Stream;
                 return match (too_long, upgrade) {
                     (true, _) => HeadOutcome::Refused(ResultCode::HeaderTooLarge),
@@ -121,7 +121,7 @@
                 };
             }
             Ok(Some(Message::Chunk(_))) => return HeadOutcome::Refused(ResultCode::BadHead),
-            Ok(None) if held > bounds.head_bytes => {
+            Ok(None) if buffered > bounds.head_bytes => {
                 return HeadOutcome::Refused(ResultCode::HeaderTooLarge);
             }
             Ok(None) => {}
@@ -132,7 +132,7 @@
         }
         buffer.reserve(READ_SIZE);
         match timeout_at(until, stream.read_buf(buffer)).await {
-            Ok(Ok(0)) | Ok(Err(_)) => return HeadOutcome::Ended,
+            Ok(Ok(0)) | Ok(Err(_)) => return HeadOutcome::Closed,
             Ok(Ok(_)) => {}
             Err(_) => return HeadOutcome::Refused(ResultCode::SlowHead),
         }
@@ -168,8 +168,8 @@
         return Ok(Bytes::new());
     }
     if request.head().expect() {
-        let go_on = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        go_on.map_err(|_| None)?;
+        let written = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        written.map_err(|_| None)?;
     }
     let mut body = BytesMut::new();
     loop {
@@ -194,9 +194,9 @@
     }
 }
 
-struct FlightGuard<'a>(&'a Cell<usize>);
+struct InflightGuard<'a>(&'a Cell<usize>);
 
-impl Drop for FlightGuard<'_> {
+impl Drop for InflightGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -211,7 +211,7 @@
     (mut request, body): (Request, Bytes),
 ) -> bool {
     node.in_flight.set(node.in_flight.get() + 1);
-    let _guard = FlightGuard(&node.in_flight);
+    let _guard = InflightGuard(&node.in_flight);
     let (mut reader, writer) = stream.split();
     let closes = node.stop.get() != StopStage::Serving;
     let mut answer = AnswerWriter::new(writer, codec, closes);
@@ -220,15 +220,15 @@
     tokio::select! {
         biased;
         outcome = serve_call(node, request, &mut answer) => {
-            outcome.is_ok() && answer.keeps_open()
+            outcome.is_ok() && answer.can_reuse()
         }
-        () = wait_leaving(&mut reader, buffer) => false,
+        () = wait_caller_close(&mut reader, buffer) => false,
     }
 }
 
 /// Waits until the caller closes its side. What it sends meanwhile is kept for later.
-async fn wait_leaving(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
-    while buffer.len() < AHEAD_LIMIT {
+async fn wait_caller_close(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
+    while buffer.len() < PIPELINE_LIMIT {
         buffer.reserve(READ_SIZE);
         match reader.read_buf(buffer).await {
             Ok(0) | Err(_) => return,
--- a/crates/front/src/kept.rs
+++ b/crates/front/src/kept.rs
@@ -13,10 +13,10 @@
 use tokio::sync::Notify;
 
 /// The first pause after a call that failed, and the longest.
-const FAULT_PAUSES: (TimeSpan, TimeSpan) = (TimeSpan(200), TimeSpan(2000));
+const FAULT_BACKOFF: (TimeSpan, TimeSpan) = (TimeSpan(200), TimeSpan(2000));
 
 /// What is kept in one object.
-pub trait KeptRecord {
+pub trait StoredRecord {
     /// What differs if the object must be written.
     type Mark: PartialEq;
 
@@ -25,7 +25,7 @@
     /// The object's name.
     const NAME: &'static str = "all";
     /// Between two looks whether something is to be done.
-    const LOOK_PERIOD: TimeSpan;
+    const CHECK_PERIOD: TimeSpan;
 
     /// What ends the pause between two looks early, if anything does.
     fn wake(_node: &FrontNode) -> Option<&Notify> {
@@ -33,10 +33,10 @@
     }
 
     /// Whether this process keeps the object.
-    fn is_kept_by(&self, node: &FrontNode) -> bool;
+    fn is_writer(&self, node: &FrontNode) -> bool;
 
     /// Whether the object is to be read although it is known.
-    fn must_read(&self, _node: &FrontNode) -> bool {
+    fn must_reload(&self, _node: &FrontNode) -> bool {
         false
     }
 
@@ -50,22 +50,22 @@
     fn note_written(&mut self, _node: &FrontNode) {}
 
     /// Notes that the store did not say what the object holds.
-    fn note_unread(&mut self, _node: &FrontNode) {}
+    fn note_read_failure(&mut self, _node: &FrontNode) {}
 }
 
 /// The object as this process knows it.
-struct KnownObject<M> {
+struct CachedObject<M> {
     guard: FeedGuard,
     mark: M,
 }
 
 /// Keeps an object until the task is ended.
-pub async fn keep_record<R: KeptRecord>(node: Rc<FrontNode>, mut record: R) {
+pub async fn sync_record<R: StoredRecord>(node: Rc<FrontNode>, mut record: R) {
     let mut known = None;
-    let (first, longest) = FAULT_PAUSES;
+    let (first, longest) = FAULT_BACKOFF;
     let mut pause = first;
     loop {
-        let asleep = actix_rt::time::sleep(R::LOOK_PERIOD.duration());
+        let asleep = actix_rt::time::sleep(R::CHECK_PERIOD.duration());
         match R::wake(&node) {
             Some(wake) => tokio::select! {
                 () = asleep => {}
@@ -73,11 +73,11 @@
             },
             None => asleep.await,
         }
-        if !record.is_kept_by(&node) {
+        if !record.is_writer(&node) {
             known = None;
             continue;
         }
-        let object = match known.take().filter(|_| !record.must_read(&node)) {
+        let object = match known.take().filter(|_| !record.must_reload(&node)) {
             Some(object) => Some(object),
             None => read_object(&node, &mut record).await,
         };
@@ -93,35 +93,35 @@
 }
 
 /// Reads the object and takes what it says; none if the store did not answer.
-async fn read_object<R: KeptRecord>(
+async fn read_object<R: StoredRecord>(
     node: &FrontNode,
     record: &mut R,
-) -> Option<KnownObject<R::Mark>> {
+) -> Option<CachedObject<R::Mark>> {
     match node.store.read(R::KIND, R::NAME).await {
-        Ok(object) => Some(known_object(node, record, object.as_ref())),
+        Ok(object) => Some(cached_object(node, record, object.as_ref())),
         Err(fault) => {
             event!(node, RecordFault; "record" => R::KIND.name(), "fault" => fault.to_string());
-            record.note_unread(node);
+            record.note_read_failure(node);
             None
         }
     }
 }
 
-fn known_object<R: KeptRecord>(
+fn cached_object<R: StoredRecord>(
     node: &FrontNode,
     record: &mut R,
     object: Option<&FeedObject>,
-) -> KnownObject<R::Mark> {
+) -> CachedObject<R::Mark> {
     let guard = object.map_or(FeedGuard::Absent, |object| FeedGuard::Is(object.revision));
-    KnownObject { guard, mark: record.take(node, object) }
+    CachedObject { guard, mark: record.take(node, object) }
 }
 
 /// Writes the object if it should say something else; none if it must be read anew.
-async fn write_object<R: KeptRecord>(
+async fn write_object<R: StoredRecord>(
     node: &FrontNode,
     record: &mut R,
-    known: KnownObject<R::Mark>,
-) -> Option<KnownObject<R::Mark>> {
+    known: CachedObject<R::Mark>,
+) -> Option<CachedObject<R::Mark>> {
     let Some((body, mark)) = record.current(node) else { return Some(known) };
     if mark == known.mark {
         return Some(known);
@@ -129,10 +129,10 @@
     match node.store.write(R::KIND, R::NAME, known.guard, body).await {
         Ok(FeedWrite::Made(revision)) => {
             record.note_written(node);
-            Some(KnownObject { guard: FeedGuard::Is(revision), mark })
+            Some(CachedObject { guard: FeedGuard::Is(revision), mark })
         }
         Ok(FeedWrite::Refused(object)) => {
-            object.map(|object| known_object(node, record, Some(&object)))
+            object.map(|object| cached_object(node, record, Some(&object)))
         }
         Err(fault) => {
             event!(node, RecordFault; "record" => R::KIND.name(), "fault" => fault.to_string());
--- a/crates/front/src/limits/pay.rs
+++ b/crates/front/src/limits/pay.rs
@@ -121,7 +121,7 @@
     let asking = actix_rt::time::timeout(ASK_LIMIT.duration(), ask_in_turn(node, payment));
     let outcome = asking.await.unwrap_or(Err(NoRoom::Unreached));
     let name = outcome.as_ref().err().map_or("room", NoRoom::name);
-    node.meter.note_limit_ask(name, began.elapsed().as_secs_f64() * 1000.0);
+    node.meter.record_ledger_wait(name, began.elapsed().as_secs_f64() * 1000.0);
     outcome
 }
 
--- a/crates/front/src/meter.rs
+++ b/crates/front/src/meter.rs
@@ -67,7 +67,7 @@
     }
 
     /// Notes the time to the first event, or to a whole answer.
-    pub fn note_first(&self, service: &str, ms: f64) {
+    pub fn record_first_ms(&self, service: &str, ms: f64) {
         self.first_ms.record(ms, &[KeyValue::new("service", service.to_owned())]);
     }
 
@@ -77,12 +77,12 @@
     }
 
     /// Notes how old the endpoint list was by which an endpoint was chosen.
-    pub fn note_list_age(&self, ms: f64) {
+    pub fn record_list_age(&self, ms: f64) {
         self.list_age_ms.record(ms, &[]);
     }
 
     /// Notes how long a request waited for a word of the ledger, and what came of it.
-    pub fn note_limit_ask(&self, outcome: &'static str, ms: f64) {
+    pub fn record_ledger_wait(&self, outcome: &'static str, ms: f64) {
         self.limit_ask_ms.record(ms, &[KeyValue::new("outcome", outcome)]);
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Counts prompt tokens that an endpoint had to read.
-    pub fn count_unread(&self, tokens: u64) {
+    pub fn count_unread_tokens(&self, tokens: u64) {
         self.unread_tokens.add(tokens, &[]);
     }
 
--- a/crates/front/src/port.rs
+++ b/crates/front/src/port.rs
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     /// The code of the refusal if the head lacks what every request needs.
-    fn read_call(&self, head: &RequestHead) -> Result<CallHead, ResultCode>;
+    fn parse_request(&self, head: &RequestHead) -> Result<CallHead, ResultCode>;
 
     /// Takes out of a request's headers what concerns one connection only, and what is ours to set:
     /// a caller must not be able to set it.
@@ -25,7 +25,7 @@
     fn stamp_request(&self, headers: &mut HeaderMap, stamp: &AttemptStamp);
 
     /// Reads the head of an endpoint's answer.
-    fn read_answer(&self, head: &ResponseHead) -> AnswerMark;
+    fn parse_answer(&self, head: &ResponseHead) -> AnswerMark;
 
     /// Takes out of an answer's headers what concerns one connection only.
     fn strip_answer(&self, headers: &mut HeaderMap);
--- a/crates/front/src/process.rs
+++ b/crates/front/src/process.rs
@@ -87,8 +87,8 @@
         actix_rt::spawn(limits::tell_limits(node.clone())),
         actix_rt::spawn(mesh::report_period(node.clone(), hub)),
         actix_rt::spawn(discover::keep_discovered(node.clone())),
-        actix_rt::spawn(kept::keep_record(node.clone(), SuspectStore)),
-        actix_rt::spawn(kept::keep_record(node.clone(), WindowStore::default())),
+        actix_rt::spawn(kept::sync_record(node.clone(), SuspectStore)),
+        actix_rt::spawn(kept::sync_record(node.clone(), WindowStore::default())),
         actix_rt::spawn(ingress::accept_callers(node.clone(), callers)),
     ];
     if let Some(path) = path {
--- a/crates/front/src/releases/lane.rs
+++ b/crates/front/src/releases/lane.rs
@@ -1,7 +1,7 @@
 //! Which version an attempt goes to.
 
 use super::{give_back, take_lane};
-use crate::drive::{CallRun, call_salt};
+use crate::drive::{CallContext, call_salt};
 use oleander_call::AttemptEnd;
 use oleander_kind::TimeSpan;
 use oleander_kind::hash::mix_bits;
@@ -14,17 +14,17 @@
 /// Callers' guesses of the length of an answer may be this much too short.
 const LENGTH_MARGIN: f64 = 1.3;
 
-impl CallRun<'_, '_> {
+impl CallContext<'_, '_> {
     /// Chooses an endpoint, of the version under the order of a roll-out if the request is one that goes there.
     pub(crate) async fn choose_lane(&mut self) -> Option<PlaceChoice> {
         let lot = mix_bits(call_salt(&self.call) ^ u64::from(self.record.sent())) as f64;
         let lot = lot / u64::MAX as f64;
-        self.trial = take_lane(self.node, &self.service, (lot, self.expected())).await;
+        self.rollout_payment = take_lane(self.node, &self.service, (lot, self.expected())).await;
         match self.choose() {
             Some(choice) => Some(choice),
             None => {
-                let trial = self.trial.take()?;
-                give_back(self.node, &trial);
+                let rollout_payment = self.rollout_payment.take()?;
+                give_back(self.node, &rollout_payment);
                 self.choose()
             }
         }
@@ -32,8 +32,8 @@
 
     /// Gives back what was paid for an attempt that certainly did not run.
     pub(crate) fn leave_lane(&mut self, end: AttemptEnd) {
-        if let Some(trial) = self.trial.take().filter(|_| !end.may_have_run()) {
-            give_back(self.node, &trial);
+        if let Some(rollout_payment) = self.rollout_payment.take().filter(|_| !end.may_have_run()) {
+            give_back(self.node, &rollout_payment);
         }
     }
 
--- a/crates/front/src/suspect_store.rs
+++ b/crates/front/src/suspect_store.rs
@@ -6,7 +6,7 @@
 
 use crate::duties::{collects, encode};
 use crate::events::event;
-use crate::kept::KeptRecord;
+use crate::kept::StoredRecord;
 use crate::node::FrontNode;
 use crate::suspects;
 use bytes::Bytes;
@@ -19,7 +19,7 @@
 
 /// Between two looks whether something changed, and so between two writes: a sixth of the time in which processes
 /// must know, so that a wave of ends costs two calls a second.
-const LOOK_PERIOD: TimeSpan = TimeSpan(500);
+const CHECK_PERIOD: TimeSpan = TimeSpan(500);
 /// What the object says.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct SuspectList {
@@ -51,13 +51,13 @@
 /// Keeps the requests in the store while this process collects.
 pub struct SuspectStore;
 
-impl KeptRecord for SuspectStore {
+impl StoredRecord for SuspectStore {
     type Mark = ListedEnds;
 
     const KIND: FeedKind = FeedKind::Suspects;
-    const LOOK_PERIOD: TimeSpan = LOOK_PERIOD;
+    const CHECK_PERIOD: TimeSpan = CHECK_PERIOD;
 
-    fn is_kept_by(&self, node: &FrontNode) -> bool {
+    fn is_writer(&self, node: &FrontNode) -> bool {
         collects(node)
     }
 
--- a/crates/front/src/suspects.rs
+++ b/crates/front/src/suspects.rs
@@ -1,6 +1,6 @@
 //! Requests under which endpoints end: notes what attempts show of them, and says which are held back.
 
-use crate::attempt::{CONNECT_LIMIT, IDLE_KEPT, IDLE_MOST};
+use crate::attempt::{CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_IDLE_LINKS};
 use crate::events::event;
 use crate::node::FrontNode;
 use oleander_kind::TimeSpan;
@@ -81,7 +81,7 @@
 }
 
 async fn look_for_end(node: Rc<FrontNode>, life: EndedLife, address: SocketAddr) {
-    let link = match IdleLink::open(address, CONNECT_LIMIT, SocketBounds::default()).await {
+    let link = match IdleLink::open(address, CONNECT_TIMEOUT, SocketBounds::default()).await {
         Ok(link) => link,
         Err(fault) if is_closed(&fault) => return note_ended(&node, &life, "port closed"),
         // Whoever is silent may be cut off from here; the list tells.
@@ -94,7 +94,7 @@
     }
     let lives = node.endpoints.borrow().key(&life.instance).is_some();
     if lives {
-        node.pool.borrow_mut().put(&life.instance, link, IDLE_KEPT, IDLE_MOST);
+        node.pool.borrow_mut().put(&life.instance, link, IDLE_TIMEOUT, MAX_IDLE_LINKS);
     }
 }
 
--- a/crates/front/src/trace.rs
+++ b/crates/front/src/trace.rs
@@ -18,7 +18,7 @@
     /// Its id.
     pub(crate) request: CompactString,
     /// What tells that it is the same as another; none if it was refused before.
-    pub(crate) print: Option<RequestPrint>,
+    pub(crate) fingerprint: Option<RequestPrint>,
     /// The service it goes to.
     pub(crate) service: CompactString,
     /// The version of the rules that it was judged by.
@@ -40,7 +40,7 @@
     /// From its arrival to the first part of its answer.
     pub(crate) first_ms: Option<u64>,
     /// The longest pause between two pieces of a stream.
-    pub(crate) pause: Option<TimeSpan>,
+    pub(crate) longest_pause: Option<TimeSpan>,
 }
 
 impl CallTrace {
@@ -48,7 +48,7 @@
         CallTrace {
             arrived: Instant::now(),
             request: CompactString::default(),
-            print: None,
+            fingerprint: None,
             service: CompactString::default(),
             rules: 0,
             fresh: false,
@@ -59,7 +59,7 @@
             list_age: None,
             last_event: None,
             first_ms: None,
-            pause: None,
+            longest_pause: None,
         }
     }
 
@@ -70,33 +70,33 @@
     }
 
     /// Writes the request's line and counts it.
-    fn tell(&self, node: &FrontNode, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
+    fn log_outcome(&self, node: &FrontNode, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
         let total_ms = self.arrived.elapsed().as_millis() as u64;
         let request = self.request.as_str();
         let code = answer.code().map_or(0, ResultCode::number);
         node.meter.count_request(&self.service, code, total_ms as f64);
         if let Some(ms) = self.first_ms {
-            node.meter.note_first(&self.service, ms as f64);
+            node.meter.record_first_ms(&self.service, ms as f64);
         }
         let endpoint = self.endpoint.as_ref().map(|id| id.as_str());
-        let print = self.print.map(|print| print.to_string());
+        let fingerprint = self.fingerprint.map(|fingerprint| fingerprint.to_string());
         match (outcome, answer.code()) {
             (Err(fault), _) => event!(node, RequestCut;
-                "request" => request, "print" => print, "service" => self.service.as_str(),
+                "request" => request, "print" => fingerprint, "service" => self.service.as_str(),
                 "why" => fault.to_string(), "status" => answer.status(), "sent" => self.sent,
                 "endpoint" => endpoint, "last_event" => self.last_event, "total_ms" => total_ms,
                 "rules" => self.rules),
             (Ok(()), Some(code)) => event!(node, RequestRefused;
-                "request" => request, "print" => print, "service" => self.service.as_str(),
+                "request" => request, "print" => fingerprint, "service" => self.service.as_str(),
                 "code" => code.number(), "name" => code.name(), "status" => code.status(),
                 "sent" => self.sent, "may_have_run" => self.may_have_run,
                 "endpoint" => endpoint, "total_ms" => total_ms, "rules" => self.rules,
                 "fresh" => self.fresh, "ahead" => self.chosen.map(|choice| choice.tokens_ahead),
                 "running" => self.chosen.map(|choice| choice.running), "limit" => self.limit()),
             (Ok(()), None) => event!(node, RequestDone;
-                "request" => request, "print" => print, "service" => self.service.as_str(),
+                "request" => request, "print" => fingerprint, "service" => self.service.as_str(),
                 "status" => answer.status(), "sent" => self.sent, "endpoint" => endpoint,
-                "first_ms" => self.first_ms, "pause_ms" => self.pause.map(|pause| pause.0),
+                "first_ms" => self.first_ms, "pause_ms" => self.longest_pause.map(|longest_pause| longest_pause.0),
                 "total_ms" => total_ms, "rules" => self.rules,
                 "ahead" => self.chosen.map(|choice| choice.tokens_ahead),
                 "unread" => self.chosen.map(|choice| choice.unread),
@@ -111,25 +111,25 @@
     node: Rc<FrontNode>,
     /// What there is to tell so far.
     pub(crate) trace: CallTrace,
-    told: bool,
+    logged: bool,
 }
 
 impl TraceGuard {
     /// Begins with a request that arrived now.
     pub fn new(node: &Rc<FrontNode>) -> Self {
-        TraceGuard { node: node.clone(), trace: CallTrace::new(), told: false }
+        TraceGuard { node: node.clone(), trace: CallTrace::new(), logged: false }
     }
 
     /// Tells how the request ended.
-    pub fn tell(mut self, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
-        self.trace.tell(&self.node, answer, outcome);
-        self.told = true;
+    pub fn finish(mut self, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
+        self.trace.log_outcome(&self.node, answer, outcome);
+        self.logged = true;
     }
 }
 
 impl Drop for TraceGuard {
     fn drop(&mut self) {
-        if self.told {
+        if self.logged {
             return;
         }
         let total_ms = self.trace.arrived.elapsed().as_millis() as u64;
--- a/crates/front/src/window_store.rs
+++ b/crates/front/src/window_store.rs
@@ -6,7 +6,7 @@
 
 use crate::duties::encode;
 use crate::events::event;
-use crate::kept::KeptRecord;
+use crate::kept::StoredRecord;
 use crate::limits::begin_ledger_by;
 use crate::mesh::state::MeshState;
 use crate::node::FrontNode;
@@ -21,7 +21,7 @@
 
 /// Between two looks, and so between two writes: a sixth of the time for which what the store has is of use. A ledger
 /// that waits for the store ends the pause.
-const LOOK_PERIOD: TimeSpan = TimeSpan(500);
+const CHECK_PERIOD: TimeSpan = TimeSpan(500);
 /// Reads without an answer before the windows are taken for full.
 const MOST_UNREAD: u32 = 3;
 
@@ -53,21 +53,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowMark(u64);
 
-impl KeptRecord for WindowStore {
+impl StoredRecord for WindowStore {
     type Mark = WindowMark;
 
     const KIND: FeedKind = FeedKind::Windows;
-    const LOOK_PERIOD: TimeSpan = LOOK_PERIOD;
+    const CHECK_PERIOD: TimeSpan = CHECK_PERIOD;
 
     fn wake(node: &FrontNode) -> Option<&Notify> {
         Some(&node.ledger_waits)
     }
 
-    fn is_kept_by(&self, node: &FrontNode) -> bool {
+    fn is_writer(&self, node: &FrontNode) -> bool {
         node.mesh.borrow().collector.is_some()
     }
 
-    fn must_read(&self, node: &FrontNode) -> bool {
+    fn must_reload(&self, node: &FrontNode) -> bool {
         waits_for_ledger(node, &node.mesh.borrow())
     }
 
@@ -103,7 +103,7 @@
         }
     }
 
-    fn note_unread(&mut self, node: &FrontNode) {
+    fn note_read_failure(&mut self, node: &FrontNode) {
         self.unread += 1;
         let mut mesh = node.mesh.borrow_mut();
         if waits_for_ledger(node, &mesh) && self.unread >= MOST_UNREAD {
--- a/crates/front/src/work.rs
+++ b/crates/front/src/work.rs
@@ -10,14 +10,14 @@
 
 /// How long the first part of an answer is usually waited for.
 #[derive(Clone, Copy, Debug)]
-pub struct FirstWait {
+pub struct AnswerWait {
     /// By what waits at the endpoint.
     pub expected: TimeSpan,
     /// By the route.
     pub objective: TimeSpan,
 }
 
-impl FirstWait {
+impl AnswerWait {
     /// When an answer that was asked for at `now` is overdue: past all that a sound endpoint takes, so that
     /// a mute one shows before its callers give up.
     fn overdue_at(&self, now: ClockTime) -> ClockTime {
@@ -31,7 +31,7 @@
     node: Rc<FrontNode>,
     key: EndpointKey,
     unread_tokens: u64,
-    wait: FirstWait,
+    wait: AnswerWait,
     began_at: ClockTime,
     answered_at: Option<ClockTime>,
     ticket: Option<WaitTicket>,
@@ -45,7 +45,7 @@
         node: &Rc<FrontNode>,
         key: EndpointKey,
         unread_tokens: u64,
-        (wait, route): (FirstWait, Option<CompactString>),
+        (wait, route): (AnswerWait, Option<CompactString>),
     ) -> Self {
         let began_at = node.clock.now();
         let overdue_at = wait.overdue_at(began_at);
@@ -55,7 +55,7 @@
         let answered_at = None;
         let guard =
             WorkGuard { node, key, unread_tokens, wait, began_at, answered_at, ticket, route };
-        guard.change(|own| {
+        guard.update_load(|own| {
             own.requests += 1;
             own.unread_tokens += unread_tokens;
         });
@@ -73,7 +73,7 @@
     }
 
     /// The first part of the answer came.
-    pub fn answered(&mut self) {
+    pub fn note_answered(&mut self) {
         let now = self.node.clock.now();
         self.answered_at.get_or_insert(now);
         let took = now - self.began_at;
@@ -81,15 +81,15 @@
     }
 
     /// Whether the endpoint has borne the request for a while: its answer began long ago.
-    pub fn is_borne(&self) -> bool {
+    pub fn has_survived(&self) -> bool {
         /// A request that ends its endpoint was seen to do so 34 to 94 ms after it began; ten times that.
-        const BORNE_AFTER: TimeSpan = TimeSpan(1000);
+        const SURVIVAL_TIME: TimeSpan = TimeSpan(1000);
         let now = self.node.clock.now();
-        self.answered_at.is_some_and(|at| now - at > BORNE_AFTER)
+        self.answered_at.is_some_and(|at| now - at > SURVIVAL_TIME)
     }
 
     /// The attempt failed by the endpoint's fault, perhaps after its answer had begun.
-    pub fn failed(&mut self) {
+    pub fn note_failed(&mut self) {
         if self.ticket.is_none() {
             let of = (self.key, self.route.clone());
             self.node.evidence.borrow_mut().note_on_route(of, AnswerSample::Failed);
@@ -104,12 +104,12 @@
     }
 
     /// The prompt was read: the first event came.
-    pub fn prompt_read(&mut self) {
+    pub fn note_prompt_read(&mut self) {
         let tokens = std::mem::take(&mut self.unread_tokens);
-        self.change(|own| own.unread_tokens = own.unread_tokens.saturating_sub(tokens));
+        self.update_load(|own| own.unread_tokens = own.unread_tokens.saturating_sub(tokens));
     }
 
-    fn change(&self, act: impl FnOnce(&mut WorkLoad)) {
+    fn update_load(&self, act: impl FnOnce(&mut WorkLoad)) {
         if let Some(fact) = self.node.endpoints.borrow_mut().get_mut(self.key) {
             act(&mut fact.own);
         }
@@ -119,7 +119,7 @@
 impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.settle(None);
-        self.prompt_read();
-        self.change(|own| own.requests = own.requests.saturating_sub(1));
+        self.note_prompt_read();
+        self.update_load(|own| own.requests = own.requests.saturating_sub(1));
     }
 }
--- a/tests/all/adapter.rs
+++ b/tests/all/adapter.rs
@@ -174,7 +174,7 @@
         let (name, value) = (HeaderName::from_static(name), HeaderValue::from_static(value));
         response.headers_mut().append(name, value);
     }
-    ObjectsDialect.read_answer(&response)
+    ObjectsDialect.parse_answer(&response)
 }
 
 /// An endpoint gets more than it takes: its limit is misread, or one word that cannot be read hides it.
@@ -214,7 +214,7 @@
         for value in values {
             response.headers_mut().append(RETRY_AFTER, HeaderValue::from_static(value));
         }
-        ObjectsDialect.read_answer(&response).rest
+        ObjectsDialect.parse_answer(&response).rest
     };
     let rest = |ms| SaidWord::Said(TimeSpan(ms));
 
--- a/tests/all/ending.rs
+++ b/tests/all/ending.rs
@@ -1,6 +1,6 @@
 //! Requests that end each endpoint which runs them, and come again at any process, in virtual time.
 
-use crate::front::{Came, ask, request, try_ask};
+use crate::front::{CallerAnswer, ask, request, try_ask};
 use crate::mortal::{FATAL, MortalFleet};
 use crate::plays::{PlayGroup, play};
 use futures_util::future::join_all;
@@ -41,7 +41,7 @@
 }
 
 impl HonestCallers {
-    fn note(&self, came: &Came) {
+    fn note(&self, came: &CallerAnswer) {
         let count = if is_held(came) { &self.held } else { &self.answered };
         count.set(count.get() + u32::from(is_held(came) || came.status() == "200"));
     }
@@ -61,7 +61,7 @@
 }
 
 /// Whether a process holds the request back.
-fn is_held(came: &Came) -> bool {
+fn is_held(came: &CallerAnswer) -> bool {
     came.has(&format!("\"code\":{}", ResultCode::RequestHeld.number()))
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// One caller sends `body` to `path` again and again, each time at the next process.
-    async fn repeat(&self, path: &str, body: &str, times: usize) -> Vec<Came> {
+    async fn repeat(&self, path: &str, body: &str, times: usize) -> Vec<CallerAnswer> {
         let mut came = Vec::new();
         for number in 0..times {
             came.push(self.ask_at(number % PROCESSES, path, body).await);
@@ -95,7 +95,7 @@
         came
     }
 
-    async fn ask_at(&self, process: usize, path: &str, body: &str) -> Came {
+    async fn ask_at(&self, process: usize, path: &str, body: &str) -> CallerAnswer {
         let text = request("POST", path, "f", "", body);
         ask(self.group.processes[process].address(), &text).await
     }
--- a/tests/all/front.rs
+++ b/tests/all/front.rs
@@ -20,11 +20,11 @@
 use tokio::net::TcpStream;
 
 /// A store that never changes.
-pub struct StillStore {
+pub struct StaticStore {
     objects: Vec<(FeedKind, FeedObject)>,
 }
 
-impl StillStore {
+impl StaticStore {
     /// The same with other rules.
     pub fn with_rules(mut self, change: impl Fn(&str) -> String) -> Self {
         for (_, object) in self.objects.iter_mut().filter(|(kind, _)| *kind == FeedKind::Rules) {
@@ -34,7 +34,7 @@
     }
 }
 
-impl FeedStore for StillStore {
+impl FeedStore for StaticStore {
     fn list(&self, kind: FeedKind) -> LocalBoxFuture<'_, Result<FeedPage>> {
         let of_kind = self.objects.iter().filter(|(other, _)| *other == kind);
         let objects = of_kind.map(|(_, object)| object.clone()).collect();
@@ -69,14 +69,14 @@
 }
 
 /// A store whose list of endpoints has changed whenever it is asked.
-struct BusyStore {
-    still: StillStore,
+struct ChangingStore {
+    inner: StaticStore,
     asked: Rc<Cell<u32>>,
 }
 
-impl FeedStore for BusyStore {
+impl FeedStore for ChangingStore {
     fn list(&self, kind: FeedKind) -> LocalBoxFuture<'_, Result<FeedPage>> {
-        self.still.list(kind)
+        self.inner.list(kind)
     }
 
     fn watch(
@@ -86,10 +86,10 @@
         wait: TimeSpan,
     ) -> LocalBoxFuture<'_, Result<FeedAnswer>> {
         if kind != FeedKind::Endpoints {
-            return self.still.watch(kind, from, wait);
+            return self.inner.watch(kind, from, wait);
         }
         self.asked.set(self.asked.get() + 1);
-        let known = self.still.objects.iter().find(|(other, _)| *other == kind);
+        let known = self.inner.objects.iter().find(|(other, _)| *other == kind);
         let event = known.map(|(_, object)| FeedEvent::Put(object.clone()));
         async move { Ok(FeedAnswer::Changes(event.into_iter().collect(), from + 1)) }.boxed_local()
     }
@@ -99,7 +99,7 @@
         kind: FeedKind,
         name: &'a str,
     ) -> LocalBoxFuture<'a, Result<Option<FeedObject>>> {
-        self.still.read(kind, name)
+        self.inner.read(kind, name)
     }
 
     fn write<'a>(
@@ -109,11 +109,11 @@
         guard: FeedGuard,
         body: Bytes,
     ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
-        self.still.write(kind, name, guard, body)
+        self.inner.write(kind, name, guard, body)
     }
 
     fn remove<'a>(&'a self, kind: FeedKind, name: &'a str) -> LocalBoxFuture<'a, Result<()>> {
-        self.still.remove(kind, name)
+        self.inner.remove(kind, name)
     }
 }
 
@@ -134,10 +134,10 @@
 /// A process of failure domain `near` before `endpoints`; the first is near, the others are far, so
 /// that it is tried first.
 async fn front(endpoints: &[SocketAddr]) -> (FrontProcess, SocketAddr) {
-    front_at(Box::new(still_store(endpoints))).await
+    front_with_store(Box::new(static_store(endpoints))).await
 }
 
-pub fn still_store(endpoints: &[SocketAddr]) -> StillStore {
+pub fn static_store(endpoints: &[SocketAddr]) -> StaticStore {
     let mut objects = vec![(FeedKind::Rules, object("main", RULES.to_owned()))];
     for (at, address) in endpoints.iter().enumerate() {
         let zone = if at == 0 { "near" } else { "far" };
@@ -146,10 +146,10 @@
         );
         objects.push((FeedKind::Endpoints, object(&format!("i-{at}"), body)));
     }
-    StillStore { objects }
+    StaticStore { objects }
 }
 
-async fn front_at(store: Box<dyn FeedStore>) -> (FrontProcess, SocketAddr) {
+async fn front_with_store(store: Box<dyn FeedStore>) -> (FrontProcess, SocketAddr) {
     let bounds = FrontBounds { retry_slack: 100, grace_s: 4.0, ..FrontBounds::default() };
     front_with(FrontPorts { store, cloud: None, clock: NodeClock::default() }, bounds).await
 }
@@ -196,12 +196,12 @@
 
 /// What came back until the answer was whole, or the connection ended.
 #[derive(Debug)]
-pub struct Came {
+pub struct CallerAnswer {
     pub text: String,
     pub ended: bool,
 }
 
-impl Came {
+impl CallerAnswer {
     pub fn status(&self) -> &str {
         self.text.get(9..12).unwrap_or_default()
     }
@@ -211,16 +211,16 @@
     }
 }
 
-pub async fn read_answer(stream: &mut TcpStream) -> Came {
+pub async fn read_answer(stream: &mut TcpStream) -> CallerAnswer {
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if is_whole(&text) {
-            return Came { text, ended: false };
+            return CallerAnswer { text, ended: false };
         }
         let reading = tokio::time::timeout(Duration::from_secs(10), stream.read_buf(&mut bytes));
         match reading.await.expect("an answer or an end within 10 s") {
-            Ok(0) | Err(_) => return Came { text, ended: true },
+            Ok(0) | Err(_) => return CallerAnswer { text, ended: true },
             Ok(_) => {}
         }
     }
@@ -238,12 +238,12 @@
     }
 }
 
-pub async fn ask(address: SocketAddr, text: &str) -> Came {
+pub async fn ask(address: SocketAddr, text: &str) -> CallerAnswer {
     try_ask(address, text).await.expect("it listens")
 }
 
 /// None if nobody listens at `address`.
-pub async fn try_ask(address: SocketAddr, text: &str) -> Option<Came> {
+pub async fn try_ask(address: SocketAddr, text: &str) -> Option<CallerAnswer> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(text.as_bytes()).await.expect("written");
     Some(read_answer(&mut stream).await)
@@ -413,7 +413,7 @@
     });
 }
 
-fn told_usage(process: &FrontProcess) -> u64 {
+fn counted_usage(process: &FrontProcess) -> u64 {
     process.node.usage.borrow().counts().map(|(_, _, count)| count).sum()
 }
 
@@ -437,7 +437,7 @@
             let (process, address) = front(&endpoints).await;
             ask(address, &asked).await;
 
-            assert_eq!(told_usage(&process), 1, "{endpoints:?}");
+            assert_eq!(counted_usage(&process), 1, "{endpoints:?}");
         }
         assert_eq!((count(&failing), count(&resetting)), (2, 2));
     });
@@ -454,7 +454,7 @@
 
         ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
 
-        assert_eq!(told_usage(&process), 0);
+        assert_eq!(counted_usage(&process), 0);
     });
 }
 
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn an_answer_that_nobody_vouches_for_is_not_passed_on() {
+fn an_answer_without_a_valid_seal_is_not_passed_on() {
     run(async {
         let unsealed = sound("hello").replace("X-Oleandertack-Response-Seal: seal\r\n", "");
         let endpoint = scripted(vec![vec![say(&unsealed)]]).await;
@@ -572,14 +572,14 @@
 /// Dozens of endpoints start and leave within seconds. Each change ends a watch, and a follower that
 /// asks again at once makes a call for each, and each is paid for.
 #[test]
-fn a_follower_gathers_changes_of_the_list() {
+fn a_watcher_batches_changes_of_the_endpoint_list() {
     run(async {
         let asked = Rc::new(Cell::new(0));
         let any: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-        let store = BusyStore { still: still_store(&[any]), asked: asked.clone() };
+        let store = ChangingStore { inner: static_store(&[any]), asked: asked.clone() };
 
         let began = std::time::Instant::now();
-        let (_process, _) = front_at(Box::new(store)).await;
+        let (_process, _) = front_with_store(Box::new(store)).await;
         while asked.get() < 4 {
             tokio::task::yield_now().await;
         }
--- a/tests/all/holder.rs
+++ b/tests/all/holder.rs
@@ -1,6 +1,6 @@
 //! Control work of a holder that stands still between its look at the lease and its call.
 
-use crate::front::{StillStore, ask, front_with, good, request, run, still_store};
+use crate::front::{StaticStore, ask, front_with, good, request, run, static_store};
 use bytes::Bytes;
 use futures_util::future::{FutureExt, LocalBoxFuture};
 use oleandertack::board::NodeClock;
@@ -36,17 +36,17 @@
 
 /// A store in front of whose answer to a usage report the process stands still.
 struct FrozenStore {
-    still: StillStore,
+    inner: StaticStore,
     freeze: Rc<StandStill>,
 }
 
 impl FeedStore for FrozenStore {
     fn list(&self, kind: FeedKind) -> LocalBoxFuture<'_, Result<FeedPage>> {
-        self.still.list(kind)
+        self.inner.list(kind)
     }
 
     fn watch(&self, k: FeedKind, from: u64, t: TimeSpan) -> LocalBoxFuture<'_, Result<FeedAnswer>> {
-        self.still.watch(k, from, t)
+        self.inner.watch(k, from, t)
     }
 
     fn read<'a>(
@@ -54,7 +54,7 @@
         kind: FeedKind,
         name: &'a str,
     ) -> LocalBoxFuture<'a, Result<Option<FeedObject>>> {
-        self.still.read(kind, name)
+        self.inner.read(kind, name)
     }
 
     fn write<'a>(
@@ -67,11 +67,11 @@
         if kind == FeedKind::UsageReports {
             self.freeze.happen();
         }
-        self.still.write(kind, name, guard, body)
+        self.inner.write(kind, name, guard, body)
     }
 
     fn remove<'a>(&'a self, kind: FeedKind, name: &'a str) -> LocalBoxFuture<'a, Result<()>> {
-        self.still.remove(kind, name)
+        self.inner.remove(kind, name)
     }
 }
 
@@ -140,8 +140,8 @@
     run(async {
         let endpoint = good("hello").await;
         let freeze = Rc::new(StandStill::default());
-        let still = still_store(&[endpoint.address]);
-        let store = FrozenStore { still, freeze };
+        let inner = static_store(&[endpoint.address]);
+        let store = FrozenStore { inner, freeze };
 
         let stamped = first_calls(Box::new(store), Rc::default()).await;
 
@@ -159,7 +159,7 @@
         let freeze = Some(Rc::new(StandStill::default()));
         let cloud = Rc::new(NotingCloud { freeze, ..NotingCloud::default() });
 
-        let stamped = first_calls(Box::new(still_store(&[endpoint.address])), cloud).await;
+        let stamped = first_calls(Box::new(static_store(&[endpoint.address])), cloud).await;
 
         assert_eq!(stamped, [false, true]);
     });
--- a/tests/all/lives.rs
+++ b/tests/all/lives.rs
@@ -1,7 +1,7 @@
 //! Endpoints that start again under the name they had, and entries that others wrote.
 
 use crate::front::{
-    StillStore, ask, front_with, good, object, read_answer, request, run, still_store,
+    StaticStore, ask, front_with, good, object, read_answer, request, run, static_store,
 };
 use crate::scripted::{Act, scripted};
 use arbtest::arbtest;
@@ -160,7 +160,7 @@
 
 /// A store whose endpoint list changes as the test says.
 struct PushedStore {
-    still: StillStore,
+    still: StaticStore,
     pushed: Rc<Pushed>,
 }
 
@@ -225,7 +225,7 @@
 
 fn pushed(endpoints: &[SocketAddr]) -> (FrontPorts, Rc<Pushed>) {
     let pushed = Rc::new(Pushed::default());
-    let store = PushedStore { still: still_store(endpoints), pushed: pushed.clone() };
+    let store = PushedStore { still: static_store(endpoints), pushed: pushed.clone() };
     (FrontPorts { store: Box::new(store), cloud: None, clock: NodeClock::default() }, pushed)
 }
 
--- a/tests/all/paying.rs
+++ b/tests/all/paying.rs
@@ -1,6 +1,6 @@
 //! What requests take of their account's limit, through a real process and scripted endpoints.
 
-use crate::front::{ask, front_with, request, run, still_store};
+use crate::front::{ask, front_with, request, run, static_store};
 use crate::scripted::{Act, Scripted, scripted};
 use oleandertack::board::NodeClock;
 use oleandertack::conf::FrontBounds;
@@ -21,7 +21,7 @@
 /// A process before endpoints, with an account of 100 tokens a second and a burst of 1,200: 2,000 a window.
 async fn limited_front(endpoints: &[&Scripted]) -> (FrontProcess, SocketAddr) {
     let addresses: Vec<SocketAddr> = endpoints.iter().map(|endpoint| endpoint.address).collect();
-    let store = still_store(&addresses).with_rules(|rules| {
+    let store = static_store(&addresses).with_rules(|rules| {
         rules.replace(r#""rate-per-s":0,"burst":0"#, r#""rate-per-s":100,"burst":1200"#)
     });
     let bounds = FrontBounds { retry_slack: 100, ..FrontBounds::default() };
--- a/tests/all/trace.rs
+++ b/tests/all/trace.rs
@@ -13,7 +13,7 @@
 const SECOND: &str = r#"{"msg":"request_refused","level":"INFO","ts":"2026-08-24T02:47:21.000Z","instance":"front-1","process":"oleander-front","code":1016,"request":"d1dc"}"#;
 
 #[test]
-fn lines_of_several_processes_make_one_account() {
+fn log_lines_of_several_processes_are_joined_by_request_id() {
     let lines = join_lines("d1dc", &[FIRST.to_owned(), SECOND.to_owned()]);
 
     let events: Vec<_> = lines.iter().map(|l| (l.instance.as_str(), l.event.as_str())).collect();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_request_that_nobody_names_has_no_lines() {
+fn a_request_id_in_no_line_has_no_lines() {
     assert!(lines_of("ffff", FIRST).is_empty());
 }
 
--- a/tests/all/words.rs
+++ b/tests/all/words.rs
@@ -1,6 +1,6 @@
 //! Endpoints that name a limit, leave or ask for rest in their answers, before several processes, in virtual time.
 
-use crate::front::{ask, front_with, request, run, still_store, try_ask};
+use crate::front::{ask, front_with, request, run, static_store, try_ask};
 use crate::plays::{PlayGroup, StoreMode, play};
 use crate::scripted::{Act, scripted};
 use crate::seeds::seeds;
@@ -317,7 +317,7 @@
             X-Oleandertack-Response-Seal: seal\r\nContent-Length: 2\r\n\r\nok";
         let says = |text: &str| scripted(vec![vec![Act::Say(text.to_owned())]]);
         let (resting, idle) = (says(refusal).await, says(answer).await);
-        let store = Box::new(still_store(&[resting.address, idle.address]));
+        let store = Box::new(static_store(&[resting.address, idle.address]));
         let ports = FrontPorts { store, cloud: None, clock: NodeClock::default() };
         let (process, address) = front_with(ports, FrontBounds::default()).await;
 
@@ -348,7 +348,7 @@
         let script =
             [limited, refusal, nameless, plain].map(|text| vec![Act::Say(text.to_owned())]);
         let endpoint = scripted(script.to_vec()).await;
-        let store = Box::new(still_store(&[endpoint.address]));
+        let store = Box::new(static_store(&[endpoint.address]));
         let ports = FrontPorts { store, cloud: None, clock: NodeClock::default() };
         let (process, address) = front_with(ports, FrontBounds::default()).await;
         let mut limits = Vec::new();
