--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -1,4 +1,4 @@
-//! Writes one answer to a caller.
+//! Encodes and writes the HTTP response to a caller.
 
 use actix_codec::Encoder;
 use actix_http::body::BodySize;
@@ -11,19 +11,19 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::WriteHalf;
 
-/// How far an answer has come.
+/// How much of an answer has been encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStage {
-    /// Nothing was written.
+    /// Not begun; any answer is still possible.
     Waiting,
-    /// The head was written.
+    /// The head was encoded.
     Begun,
-    /// All of it was written.
+    /// The complete answer was written.
     Done,
 }
 
-/// The caller's side of one request. Dropping it before it is done closes the connection, so that
-/// an answer that ends early cannot look whole.
+/// Writes the answer to one request. The connection is closed if it is dropped before the answer is
+/// complete, so that the caller cannot take a truncated answer for a complete one.
 pub struct AnswerWriter<'a> {
     writer: WriteHalf<'a>,
     codec: &'a mut Codec,
@@ -35,8 +35,8 @@
 }
 
 impl<'a> AnswerWriter<'a> {
-    /// An answer that has not begun. If `closes`, the caller is told not to use the connection
-    /// again.
+    /// Creates a writer for an answer that has not begun. If `closes`, the answer has the header
+    /// `Connection: close`.
     pub fn new(writer: WriteHalf<'a>, codec: &'a mut Codec, closes: bool) -> Self {
         AnswerWriter {
             writer,
@@ -49,30 +49,30 @@
         }
     }
 
-    /// How far it has come.
+    /// How much of the answer has been encoded.
     pub fn stage(&self) -> AnswerStage {
         self.stage
     }
 
-    /// The status it was begun with; 0 if it was not.
+    /// HTTP status of the answer; 0 before it begins.
     pub fn status(&self) -> u16 {
         self.status
     }
 
-    /// The code of the refusal; none if it is no refusal.
+    /// Result code of the refusal; none if the answer is not a refusal.
     pub fn code(&self) -> Option<ResultCode> {
         self.code
     }
 
-    /// From now on tells the caller not to use the connection again.
+    /// Adds `Connection: close` to the answer, if it has not begun.
     pub fn close_after(&mut self) {
         self.closes = true;
     }
 
-    /// Begins an answer whose body comes in pieces. The head leaves with the first piece.
+    /// Begins an answer with a chunked body. The head is sent with the first chunk.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error of the connection.
     pub fn begin_stream(&mut self, status: StatusCode, headers: HeaderMap) -> io::Result<()> {
         self.encode_head(status, headers, BodySize::Stream)
     }
@@ -93,19 +93,19 @@
         self.codec.encode(Message::Item((response, size)), &mut self.out)
     }
 
-    /// Writes a piece of the body.
+    /// Writes a chunk of the body.
     ///
     /// # Errors
-    /// The system's; the caller is gone then.
+    /// An I/O error: the caller has disconnected.
     pub async fn write_chunk(&mut self, bytes: Bytes) -> io::Result<()> {
         self.codec.encode(Message::Chunk(Some(bytes)), &mut self.out)?;
         self.flush().await
     }
 
-    /// Ends a body that came in pieces.
+    /// Ends a chunked body.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error of the connection.
     pub async fn finish(&mut self) -> io::Result<()> {
         self.codec.encode(Message::Chunk(None), &mut self.out)?;
         self.flush().await?;
@@ -113,10 +113,10 @@
         Ok(())
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete answer.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error of the connection.
     pub async fn write_whole(
         &mut self,
         status: StatusCode,
@@ -132,10 +132,10 @@
         Ok(())
     }
 
-    /// Writes a numbered refusal.
+    /// Writes a refusal with its result code, and a `Retry-After` header if `retry` is given.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error of the connection.
     pub async fn refuse(&mut self, code: ResultCode, retry: Option<TimeSpan>) -> io::Result<()> {
         self.code = Some(code);
         let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -153,7 +153,7 @@
         self.write_whole(status, headers, Bytes::from(body.to_string())).await
     }
 
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be used for another request.
     pub fn can_reuse(&self) -> bool {
         self.stage == AnswerStage::Done && !self.closes && self.codec.keep_alive()
     }
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -1,4 +1,6 @@
-//! One attempt at one endpoint: a connection, the request on it, and the answer that came.
+//! Sends a request to one endpoint and reads the answer: one attempt.
+//!
+//! Grades the endpoint by the result, and reports failures to the other processes.
 
 use crate::drive::{AttemptOutcome, CallContext};
 use crate::events::event;
@@ -18,22 +20,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Time to make a connection to an endpoint: a lost opening packet is sent again after a second,
-/// and by then another endpoint has answered.
+/// Timeout of a connection to an endpoint. A lost SYN is sent again only after a second, and by then
+/// another endpoint has answered.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an idle connection to an endpoint is kept if the endpoint does not say.
+/// How long an idle connection is pooled if the endpoint announces no keep-alive time.
 pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// The part of an endpoint's own idle time that is used, so that it does not close a connection
-/// while a request is on its way on it.
+/// Fraction of an endpoint's keep-alive time for which a connection is pooled, so that the endpoint
+/// does not close it while a request is in flight.
 const IDLE_FRACTION: f64 = 0.6;
-/// The most idle connections to one endpoint.
+/// Most idle connections pooled for one endpoint.
 pub(crate) const MAX_IDLE_LINKS: usize = 32;
 
-/// A kept connection that its endpoint had closed already ends within this time: two crossings of failure
-/// domains take 3 ms, and the shortest work of an endpoint some 15.
+/// A pooled connection that fails within this time was already closed by its endpoint, not broken by the
+/// request: a round trip between failure domains takes 3 ms, and the shortest work of an endpoint about 15 ms.
 const STALE_LINK_WINDOW: Duration = Duration::from_millis(8);
 
-/// What an attempt needs to know of its endpoint.
+/// The endpoint of an attempt.
 struct AttemptTarget {
     key: EndpointKey,
     life: EndedLife,
@@ -42,7 +44,7 @@
 }
 
 impl CallContext<'_, '_> {
-    /// Makes an attempt at the endpoint chosen.
+    /// Sends the request to the chosen endpoint and passes on its answer.
     pub async fn attempt(&mut self, choice: PlaceChoice) -> AttemptOutcome {
         let Some(target) =
             self.target(choice.key).filter(|_| self.spend_endpoint_limit(choice.key))
@@ -75,8 +77,8 @@
         outcome
     }
 
-    /// Notes an attempt that broke: its endpoint may have ended under the request. One that said that it leaves
-    /// ends whatever it runs.
+    /// Reports a broken attempt, because the request may have crashed its endpoint. An endpoint that
+    /// signalled that it is leaving is left out: it ends all its requests.
     pub(crate) fn note_broken(&self, key: EndpointKey, end: AttemptEnd) {
         let (Some((life, address)), Some(sent_at)) = (self.last_target.clone(), self.sent_at)
         else {
@@ -110,7 +112,8 @@
         AnswerWait { expected, objective: self.route().objective }
     }
 
-    /// Counts what the request asks of its service, of which `unread` tokens of its prompt have to be read.
+    /// Adds the request to the demand of its service; `unread` is the number of prompt tokens that have to be
+    /// prefilled.
     pub(crate) fn note_demand(&self, unread: u64) {
         let first = self.record.sent() == 0;
         let answer = self.call.tokens.map_or(0, |tokens| tokens.answer);
@@ -122,11 +125,11 @@
         });
     }
 
-    /// Notes that the request began to run at its endpoint `ago`; once, however often it is sent.
+    /// Counts the request, which started at its endpoint `ago`, as usage; once, however often it is sent.
     ///
-    /// Failures that an endpoint made itself count, and so do answers that were lost on the way: it has done
-    /// the work. Without these, usage was told 8 to 15 in 100 too low while all endpoints failed half of
-    /// their requests, or lost a quarter of their answers.
+    /// Requests that failed at the endpoint count, and so do requests whose answers were lost in transit: the
+    /// endpoint has done the work. Without them, reported usage was 8 to 15 % too low while all endpoints
+    /// failed half of their requests or lost a quarter of their answers.
     pub fn record_usage(&mut self, ago: Duration) {
         if std::mem::replace(&mut self.usage_recorded, true) {
             return;
@@ -136,12 +139,12 @@
         }
     }
 
-    /// Notes that the engine has read the prompt: its first event came.
+    /// Records the engine's prefill speed when the first event arrives.
     pub fn note_read(&self) {
         let (Some(choice), Some(sent_at)) = (self.chosen, self.sent_at) else { return };
         if choice.held == 0 && self.call.parts.len() > 1 {
-            // Another process may have had the engine read its shared parts: it seems quicker than
-            // it is.
+            // The engine may have cached the shared prompt parts for another process, so the sample
+            // would show it faster than it is.
             return;
         }
         let took = TimeSpan(sent_at.elapsed().as_millis() as u64);
@@ -158,7 +161,7 @@
         usable.then_some(AttemptTarget { key, life, address, version })
     }
 
-    /// Counts the attempt for its endpoint's version where roll-outs are carried out.
+    /// Counts the attempt by its endpoint's version, if this process handles roll-outs.
     fn count_version(&self, target: &AttemptTarget, outcome: &AttemptOutcome) {
         if !releases::are_served(self.node) {
             return;
@@ -171,7 +174,7 @@
         self.node.meter.count_version(&self.service.0, &target.version, end);
     }
 
-    /// Takes this process's next request of a limited endpoint; says whether there is one.
+    /// Takes one request from this process's share of the endpoint's rate limit; returns whether there was one.
     fn spend_endpoint_limit(&self, key: EndpointKey) -> bool {
         let now = self.node.clock.lease_now();
         let mut board = self.node.endpoints.borrow_mut();
@@ -210,12 +213,12 @@
                     LinkError::Late(_) => AttemptEnd::Silent,
                     _ => AttemptEnd::Broken,
                 };
-                // A kept connection that ends at once was most likely closed for its age.
+                // A pooled connection that fails at once was most likely closed by its idle timeout.
                 if !reused || end == AttemptEnd::Silent {
                     self.note_fault(target, work, &fault);
                 }
                 if reused && end == AttemptEnd::Silent {
-                    // Kept connections fall silent together, when what lies between forgets them.
+                    // Pooled connections go silent together when a device on the path drops its state.
                     self.node.pool.borrow_mut().clear();
                 }
                 if end != AttemptEnd::NotSent || !reused {
@@ -223,7 +226,7 @@
                 }
                 let closed_for_age = reused && sent_at.elapsed() < STALE_LINK_WINDOW;
                 if end == AttemptEnd::Broken && !closed_for_age {
-                    // The endpoint had the request and closed: its answer is lost, not its work.
+                    // The endpoint received the request before it closed: it may have done the work.
                     self.record_usage(sent_at.elapsed());
                 }
                 AttemptOutcome::Ended(end, None)
@@ -274,13 +277,13 @@
         TimeSpan(left.as_millis() as u64)
     }
 
-    /// Until when an endpoint may be silent before its answer begins.
+    /// When an attempt is given up if its answer has not begun.
     ///
-    /// Where another attempt is allowed, an endpoint that hangs is given up after a few times the
-    /// objective: late for this caller, but in time to be served. Where none is, waiting costs
-    /// nothing and the answer may still come.
+    /// If a retry is allowed, an endpoint that hangs is given up after a few times the latency objective:
+    /// the answer is late, but there is time for another attempt. On the last attempt it waits until the
+    /// deadline, because the answer may still arrive.
     pub fn first_chunk_deadline(&self) -> Instant {
-        /// Times the objective; a queue of that length is no sign of a dead endpoint yet.
+        /// Multiple of the latency objective; up to this, the delay can be caused by a queue at the endpoint.
         const OBJECTIVES_WAITED: u32 = 3;
         let route = self.route();
         let last = self.record.sent() + 1 >= route.most_attempts;
@@ -290,15 +293,15 @@
         self.deadline.min(Instant::now() + route.objective.duration() * OBJECTIVES_WAITED)
     }
 
-    /// Reads heads until one belongs to this request. `slot` is empty after an error that used the
-    /// link up.
+    /// Reads response heads until one belongs to this request. `slot` is empty after an error on a
+    /// connection that cannot be used further.
     async fn read_matching_head(
         &mut self,
         key: EndpointKey,
         slot: &mut Option<SentLink>,
         limit: Instant,
     ) -> oleander_outlet::Result<(SentLink, ResponseHead, AnswerMark)> {
-        /// Foreign answers that are read away; an endpoint that sends more is broken.
+        /// Answers to other requests that are discarded; an endpoint that sends more is broken.
         const MAX_FOREIGN: u32 = 2;
         let began = Instant::now();
         let asked_at = self.node.clock.now();
@@ -352,7 +355,7 @@
                 work.note_answered();
             }
             AttemptOutcome::CallerGone => {}
-            // It is sound, and says when it takes requests again.
+            // The endpoint is healthy; it has signalled a backoff and says when it accepts requests again.
             AttemptOutcome::Ended(AttemptEnd::RefusedNotRun, _) if asks_for_rest => {
                 self.tried.push(target.key);
             }
@@ -361,7 +364,7 @@
                 self.note_failure(target, work, AnswerGrade::Bad);
             }
         }
-        // A connection to a life that has ended since is of no use to the next one.
+        // A connection to an incarnation that has ended is of no use to the next one.
         let lives = self.node.endpoints.borrow().get(target.key).is_some();
         if let Some(link) = link.filter(|_| lives) {
             let said = mark.keeps_idle.map(|span| span.duration().mul_f64(IDLE_FRACTION));
@@ -371,7 +374,7 @@
         outcome
     }
 
-    /// Notes a failure of the endpoint, for this process and for all.
+    /// Records a failure of the endpoint locally and in the evidence that is shared with other processes.
     fn note_failure(&self, target: &AttemptTarget, work: &mut WorkGuard, grade: AnswerGrade) {
         self.grade(target.key, grade);
         work.note_failed();
--- a/crates/front/src/closed.rs
+++ b/crates/front/src/closed.rs
@@ -1,6 +1,7 @@
-//! Requests that no endpoint may be sent now, by what endpoints said of themselves.
+//! Refuses requests when no endpoint accepts any, by the rate limits, backoffs and leaving signals of the endpoints.
 //!
-//! They are refused at once, as nothing here makes an endpoint open sooner, and their callers are told when one does.
+//! Such a request is refused at once, because waiting here would not free an endpoint sooner. Its `Retry-After` time says
+//! when an endpoint accepts requests again.
 
 use crate::answer::AnswerStage;
 use crate::drive::{CallContext, CallOutcome, call_salt};
@@ -8,15 +9,15 @@
 use oleander_kind::{ResultCode, TimeSpan};
 use oleander_place::{OwnWords, opens_in};
 
-/// The shortest time after which a caller may come back whom what endpoints said of themselves had refused.
+/// Shortest Retry-After time of a request refused because of signals of the endpoints.
 const MIN_RETRY_AFTER: TimeSpan = TimeSpan(100);
 
-/// When a caller may come back whom an endpoint turned away that rests from now on, while others are open: its next request
-/// goes to one of those.
+/// Retry-After time if the endpoint of the last attempt signalled a backoff while others accept requests: the caller's next
+/// request goes to one of those.
 const ELSEWHERE_RETRY_AFTER: TimeSpan = TimeSpan(20);
 
 impl CallContext<'_, '_> {
-    /// Refuses a request that no endpoint may be sent now.
+    /// Refuses a request for which no endpoint can be chosen.
     pub(crate) async fn refuse_unplaced(&mut self) -> CallOutcome {
         match self.reopens_in() {
             Some(retry_in) if self.may_refuse() => {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Logs what endpoints said that keeps the request from them.
+    /// Logs how many endpoints are excluded, by reason.
     fn log_closed(&self, retry_in: TimeSpan) {
         let now = self.node.clock.lease_now();
         let board = self.node.endpoints.borrow();
@@ -51,7 +52,7 @@
             "retry_ms" => retry_in.0);
     }
 
-    /// Whether the endpoint of the last attempt turned it away for a while, and another one is open.
+    /// Whether the endpoint of the last attempt is in a backoff and another endpoint can be chosen.
     fn can_go_elsewhere(&self) -> bool {
         let now = self.node.clock.lease_now();
         let board = self.node.endpoints.borrow();
@@ -59,13 +60,13 @@
         last.is_some_and(|fact| now < fact.said.rests_until) && self.choose().is_some()
     }
 
-    /// Whether "not run" would be true, and nothing of an answer has left.
+    /// Whether the request has certainly not run and no part of an answer was sent.
     fn may_refuse(&self) -> bool {
         !self.record.may_have_run() && self.answer.stage() == AnswerStage::Waiting
     }
 
-    /// When the caller may come back, if nothing but what endpoints said of themselves keeps the request from one. Those
-    /// who are refused together do not come back together.
+    /// Time until an endpoint accepts the request, if only signals of the endpoints exclude it now. A
+    /// jitter by request keeps callers that are refused together from retrying together.
     fn reopens_in(&self) -> Option<TimeSpan> {
         let wait = opens_in(&self.node.endpoints.borrow(), &self.place_ask())?;
         let wait = wait.max(MIN_RETRY_AFTER);
--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -1,7 +1,7 @@
-//! One request: admitted, placed, sent, perhaps sent again, answered.
+//! Serves one request: checks it, chooses an endpoint, sends it, retries it if allowed, and answers it.
 //!
-//! The decisions are in `call` and `place`; here connections are opened, and their ends are turned
-//! into [`AttemptEnd`]s.
+//! The decisions are made by the crates `call` and `place`. This module does the I/O and reports the
+//! result of each attempt to them as an [`AttemptEnd`].
 
 use crate::answer::{AnswerStage, AnswerWriter};
 use crate::events::event;
@@ -30,53 +30,53 @@
 use std::rc::Rc;
 use tokio::time::{Instant, timeout_at};
 
-/// When a caller that was refused for want of an endpoint may come back: a lost endpoint is replaced
-/// or found again within about this time.
+/// Retry-After time if no endpoint is available: a lost endpoint is replaced or found again within
+/// about this time.
 const NO_ENDPOINT_RETRY: TimeSpan = TimeSpan(300);
 
-/// When a caller that met a stopping process may come back: its next connection goes elsewhere.
+/// Retry-After time while this process drains: the caller's next connection reaches another process.
 const DRAINING_RETRY: TimeSpan = TimeSpan(20);
 
-/// How the request is seen by its caller: an error means that the connection must be closed.
+/// Result of serving a request; an error means that the connection to the caller must be closed.
 pub type CallOutcome = io::Result<()>;
 
 /// How one attempt ended.
 pub enum AttemptOutcome {
-    /// The caller has its whole answer.
+    /// The complete answer was written to the caller.
     Delivered,
-    /// The caller is gone, or its answer was cut for good.
+    /// The caller disconnected, so that its answer could not be written.
     CallerGone,
-    /// Another attempt may follow; with the endpoint's own answer, if it made one.
+    /// The attempt failed and may be retried; with the endpoint's answer, if it sent a complete one.
     Ended(AttemptEnd, Option<EndpointAnswer>),
 }
 
-/// A whole answer that an endpoint made, held back while another attempt is weighed.
+/// Complete answer of an endpoint, kept back until it is decided whether the request is retried.
 pub struct EndpointAnswer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers, for the caller.
+    /// Headers to pass on to the caller.
     pub headers: HeaderMap,
-    /// Body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// One request under way.
+/// State of one request while it is served.
 pub struct CallContext<'a, 'b> {
-    /// The process.
+    /// The front process that serves it.
     pub node: &'a Rc<FrontNode>,
-    /// The caller's side.
+    /// Writes the answer to the caller.
     pub answer: &'a mut AnswerWriter<'b>,
-    /// The request in the engine's terms.
+    /// The parsed request head.
     pub call: CallHead,
-    /// What each attempt takes of its account's limit.
+    /// Tokens that each attempt takes from the account's rate limit; none if it has no limit.
     pub(crate) payment: Option<Payment>,
-    /// What tells that it is the same as another.
+    /// Fingerprint of the content, by which a repeated request is recognized.
     pub fingerprint: RequestPrint,
-    /// What it paid to go to the version under the order of a roll-out; none if it goes to those that serve.
+    /// Charge for an attempt on the version that is being rolled out; none if it goes to a version in service.
     pub(crate) rollout_payment: Option<TriedPayment>,
-    /// When it must be answered.
+    /// When the request times out.
     pub deadline: Instant,
-    /// The last event that its caller has.
+    /// ID of the last stream event that the caller has received.
     pub last_event: Option<u64>,
     pub(crate) rules: Rc<RuleSet>,
     pub(crate) route: RouteKey,
@@ -88,27 +88,27 @@
     pub(crate) record: AttemptRecord,
     pub(crate) tried: Vec<EndpointKey>,
     pub(crate) current: Option<EndpointKey>,
-    /// The endpoint of the last attempt.
+    /// Endpoint of the last attempt.
     pub(crate) endpoint: Option<InstanceId>,
-    /// Its life, and where it listens.
+    /// Incarnation and address of the endpoint of the last attempt.
     pub(crate) last_target: Option<(EndedLife, SocketAddr)>,
-    /// What the last choice of an endpoint went by.
+    /// The last choice of an endpoint, with the figures it was based on.
     pub(crate) chosen: Option<PlaceChoice>,
-    /// How old the endpoint list was then.
+    /// Age of the endpoint list at that choice.
     pub(crate) list_age: Option<TimeSpan>,
-    /// Whether it is known to have begun to run.
+    /// Whether the request was counted as usage: it is known to have started at an endpoint.
     pub(crate) usage_recorded: bool,
-    /// When the request was last sent.
+    /// When the last attempt was sent.
     pub(crate) sent_at: Option<Instant>,
-    /// When the first part of an answer reached this process.
+    /// When the first part of the answer was received.
     pub(crate) first_chunk_at: Option<Instant>,
-    /// When the last piece of a stream reached this process.
+    /// When the last chunk of the stream was received.
     pub(crate) last_chunk_at: Option<Instant>,
-    /// The longest pause between two pieces.
+    /// Longest pause between two chunks of the stream.
     pub(crate) longest_pause: Option<TimeSpan>,
 }
 
-/// Answers one request, and tells of it.
+/// Serves one request and writes its log line.
 ///
 /// # Errors
 /// If the connection to the caller must be closed.
@@ -148,7 +148,7 @@
     };
     let route = rules.route(admitted.route);
     if node.stop.get() == StopStage::Draining {
-        // It would outlast the process. The balancer sends the next connection elsewhere.
+        // The request could outlast the process. The load balancer sends the next connection to another one.
         answer.close_after();
         return answer.refuse(ResultCode::Draining, Some(DRAINING_RETRY)).await;
     }
@@ -224,17 +224,18 @@
     })
 }
 
-/// When a refused caller may come back; none for refusals that are final.
+/// Retry-After time for a refusal; none if a retry cannot succeed.
 fn retry_after(code: ResultCode) -> Option<TimeSpan> {
     (code.status() == StatusCode::SERVICE_UNAVAILABLE.as_u16()).then_some(NO_ENDPOINT_RETRY)
 }
 
+/// Hash of the request id, used to spread choices and retry times over requests.
 pub(crate) fn call_salt(call: &CallHead) -> u64 {
     mix_bits(stable_hash(HASH_START, call.id.as_bytes()))
 }
 
 impl CallContext<'_, '_> {
-    /// The request's route.
+    /// The route that the request matched.
     pub fn route(&self) -> &RouteRule {
         self.rules.route(self.route)
     }
@@ -257,7 +258,7 @@
                 return self.refuse_unplaced().await;
             };
             if let Some(retry_in) = self.overload_retry_after(&choice) {
-                // What is refused is needed all the same: more endpoints are ordered for it.
+                // A refused request counts as demand too, so that more endpoints are ordered for it.
                 self.note_demand(choice.unread);
                 self.chosen = Some(choice);
                 return self.answer.refuse(ResultCode::Overloaded, Some(retry_in)).await;
@@ -275,7 +276,8 @@
         }
     }
 
-    /// Pays for another attempt after one that may have run: operators count the tokens of each that runs.
+    /// Charges the account for a retry if the failed attempt may have run: the tokens of each attempt that
+    /// runs count against the limit.
     async fn pay_again(&self, end: AttemptEnd) -> bool {
         match &self.payment {
             Some(payment) if end.may_have_run() => {
@@ -285,7 +287,7 @@
         }
     }
 
-    /// Gives back what was paid for a request that certainly did not run.
+    /// Refunds the charge of a request that certainly did not run.
     fn refund_unused(&self) {
         let is_answered = self.first_chunk_at.is_some();
         let has_run = is_answered || self.record.may_have_run() || self.current.is_some();
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Judges an attempt that ended; an outcome if the request is over.
+    /// Decides what follows a failed attempt: none to retry, or the outcome of the finished request.
     async fn decide_next(
         &mut self,
         end: AttemptEnd,
@@ -327,12 +329,12 @@
         }
     }
 
-    /// Ends the request without an answer of an endpoint.
+    /// Ends the request with a refusal, or by closing the connection if the answer has begun.
     pub(crate) async fn give_up(&mut self, code: ResultCode) -> CallOutcome {
         if self.answer.stage() != AnswerStage::Waiting {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        // Nothing of a request that may be repeated is lost by asking again.
+        // An attempt may have run, so a code that says "not run" would be false.
         let code = if self.record.may_have_run() && code.says_not_run() {
             ResultCode::Uncertain
         } else {
@@ -341,7 +343,7 @@
         self.answer.refuse(code, retry_after(code)).await
     }
 
-    /// The deadline passed.
+    /// Ends the request because its deadline has passed.
     async fn expire(&mut self) -> CallOutcome {
         if let Some(key) = self.current {
             self.grade(key, AnswerGrade::Bad);
@@ -380,7 +382,7 @@
         }
     }
 
-    /// Notes how old the list was that an endpoint was chosen from.
+    /// Records the age of the endpoint list at the choice of an endpoint.
     pub(crate) fn note_list_age(&mut self) {
         self.list_age = self.node.roster_age();
         if let Some(age) = self.list_age {
@@ -392,8 +394,8 @@
         queue_limit(self.route().objective, self.rank, self.node.read_per_ms(&self.service))
     }
 
-    /// When the caller should come back if the service is overloaded. A stream that its caller has a
-    /// part of is gone on with in any case: the part would be lost.
+    /// The Retry-After time if the service is overloaded. A stream of which the caller has received a
+    /// part is always resumed, because that part would be lost otherwise.
     fn overload_retry_after(&self, choice: &PlaceChoice) -> Option<TimeSpan> {
         let fresh = self.record.sent() == 0 && self.last_event.is_none();
         if !fresh || !self.is_engine() {
--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -1,36 +1,36 @@
-//! Typed log events: one line for each decision that touches a request or changes what the process
-//! believes.
+//! Typed log events: one line for each decision that affects a request or changes the state of the
+//! process.
 //!
-//! Each kind has a budget of lines a second, so that an overload cannot flood the log; what was left
-//! out is counted and told. Lines go to the log library's own thread by a bounded queue: a reader
-//! that does not read loses lines, and the process never waits for it.
+//! Each kind has a rate limit in lines a second, so that an overload cannot flood the log; dropped lines
+//! are counted and the count is logged. Lines go to the thread of the log library through a bounded
+//! queue: if the reader of the log stalls, lines are lost, and the process never blocks.
 
 use oleander_kind::{ClockTime, TimeSpan};
 use std::cell::RefCell;
 
 macro_rules! event_kinds {
     ($($kind:ident = $name:literal, $budget:literal, $text:literal;)*) => {
-        /// What a log line tells of.
+        /// The kind of a log line.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum EventKind {
             $(#[doc = $text] $kind,)*
         }
 
         impl EventKind {
-            /// Every kind.
+            /// All kinds.
             pub const ALL: &[EventKind] = &[$(EventKind::$kind),*];
 
-            /// The name, as the `msg` field has it.
+            /// The name in the `msg` field of the line.
             pub fn name(self) -> &'static str {
                 match self { $(EventKind::$kind => $name,)* }
             }
 
-            /// The most lines a second of one process.
+            /// Most lines of this kind that one process writes in a second.
             pub fn budget(self) -> u32 {
                 match self { $(EventKind::$kind => $budget,)* }
             }
 
-            /// What it means.
+            /// Description of the event and its fields.
             pub fn text(self) -> &'static str {
                 match self { $(EventKind::$kind => $text,)* }
             }
@@ -38,75 +38,74 @@
     };
 }
 
-// Requests have a few tens of lines a second each at the users' sizes of today (16 to 40 requests a
-// second at one process). Failures have more than successes. Changes of belief are rare; their
-// budgets only stop a loop.
+// One process serves 16 to 40 requests a second, so events of requests get a few tens of lines a second.
+// Failures get more than successes. Changes of the process's state are rare; their limits only stop a loop.
 event_kinds! {
-    ProcessStarted = "process_started", 10, "the process listens: `listen`, `peer`";
-    ProcessLeaving = "process_leaving", 10, "a stop signal came: `in_flight` requests are left";
-    ProcessStopped = "process_stopped", 10, "all is answered, or the grace time is over: `left` requests were cut";
-    SettingsRead = "settings_read", 10, "changed settings are in force: `bounds`; or `told` to read them again";
-    SettingsFault = "settings_fault", 10, "settings cannot be used, the old ones stay: `fault`";
-    RequestDone = "request_done", 40, "a caller has its whole answer: the digest of its content (`print`), the same whenever its caller sends it again; `status`, `endpoint`, `sent` attempts, `first_ms`, the longest pause of a stream (`pause_ms`), `total_ms`, `rules` version; what its endpoint was chosen by: tokens to be read before it (`ahead`) and of it (`unread`), requests `running` there, the age of the endpoint list (`list_ms`), the `limit` that the endpoint named for itself and how old that word was";
+    ProcessStarted = "process_started", 10, "the process accepts connections: its addresses `listen` and `peer`";
+    ProcessLeaving = "process_leaving", 10, "a stop signal was received: requests `in_flight`";
+    ProcessStopped = "process_stopped", 10, "all requests are answered or the grace time is over: `left` requests were cancelled";
+    SettingsRead = "settings_read", 10, "changed settings are in force: `bounds`; or the process was `told` to reload them";
+    SettingsFault = "settings_fault", 10, "the settings are invalid and the old ones stay in force: `fault`";
+    RequestDone = "request_done", 40, "the complete answer was written to the caller: fingerprint of the request's content (`print`), the same whenever the caller repeats it; `status`, `endpoint`, `sent` attempts, `first_ms`, the longest pause of a stream (`pause_ms`), `total_ms`, `rules` version; the figures by which the endpoint was chosen: prompt tokens queued before the request (`ahead`) and its own to be prefilled (`unread`), requests `running` there, the age of the endpoint list (`list_ms`), the rate `limit` that the endpoint signalled and the age of that signal";
     RequestRefused = "request_refused", 60, "a request was refused or failed: `print` as in `request_done`, `code`, `name`, `status`, `sent` attempts, `may_have_run`, `total_ms`, `rules` version and whether they were `fresh`; `ahead`, `running` and `limit` as in `request_done`";
-    RequestCut = "request_cut", 60, "an answer could not be finished, or its caller left: `print` as in `request_done`, `why`, `sent`, `last_event`, `total_ms`";
-    RequestOverLimit = "request_over_limit", 30, "a request finds no room in its account's limit: `account`, `tokens`, `retry_ms`, why (`by`: the ledger is `full`, or `unreached`), what this process holds (`held`)";
-    AccountSpent = "account_spent", 100, "what this process let in of an account that is near its limit, in the last second: `account`, `tokens` by its allotment, of them for further attempts (`sent_again`), tokens by its own part (`own`), what it holds still (`held`), and how old the ledger's last answer is (`told_ms`)";
-    AccountWindow = "account_window", 60, "what the ledger has counted of an account that is near its limit, over its window: `account`, tokens `spent`, handed out and not counted yet (`open`), and its `capacity`, how many processes hold or held allotments (`holders`)";
-    AttemptEnded = "attempt_ended", 80, "an attempt brought no whole answer: `print` as in `request_done`, `endpoint`, how long it had run there (`ran_ms`), `end`, `sent` so far, `last_event` shown, `again` if another may be tried, `list_ms` as in `request_done`";
+    RequestCut = "request_cut", 60, "an answer could not be completed, or the caller disconnected: `print` as in `request_done`, `why`, `sent`, `last_event`, `total_ms`";
+    RequestOverLimit = "request_over_limit", 30, "a request exceeds its account's limit: `account`, `tokens`, `retry_ms`, the reason (`by`: the ledger is `full`, or `unreached`), tokens allotted to this process and not spent (`held`)";
+    AccountSpent = "account_spent", 100, "tokens that this process admitted in the last second for an account near its limit: `account`, `tokens` from its allotment, those of them for retries (`sent_again`), tokens from its own share while the ledger is unreachable (`own`), tokens still `held`, and the age of the ledger's last answer (`told_ms`)";
+    AccountWindow = "account_window", 60, "the ledger's count for an account near its limit, over its window: `account`, tokens `spent`, tokens allotted and not reported as spent yet (`open`), its `capacity`, the number of processes with allotments (`holders`)";
+    AttemptEnded = "attempt_ended", 80, "an attempt failed: `print` as in `request_done`, `endpoint`, the time since it was sent (`ran_ms`), how it ended (`end`), attempts `sent` so far, the `last_event` that the caller received, whether it may be retried (`again`), `list_ms` as in `request_done`";
     AttemptFault = "attempt_fault", 80, "a connection to an endpoint failed: `endpoint`, `fault`";
-    StreamResumed = "stream_resumed", 40, "a stream goes on at another endpoint: `endpoint`, `last_event`";
-    CallerFault = "caller_fault", 20, "a caller's connection could not be served: `fault`, or the `code` it was refused with";
-    FeedChanged = "feed_changed", 20, "the store was lost or is back: `feed`, `fresh`, `fault`";
+    StreamResumed = "stream_resumed", 40, "a stream was resumed at another endpoint: `endpoint`, `last_event`";
+    CallerFault = "caller_fault", 20, "a connection of a caller failed: `fault`, or the `code` of the refusal";
+    FeedChanged = "feed_changed", 20, "the store became unreachable or reachable: `feed`, `fresh`, `fault`";
     FeedFault = "feed_fault", 10, "a call to the store failed: `feed`, `fault`";
-    FeedSilent = "feed_silent", 20, "news of a feed grew too old while its watch waited; the store is asked anew: `feed`";
+    FeedSilent = "feed_silent", 20, "a watch of a feed has returned nothing for too long; the feed is read again: `feed`";
     RulesInForce = "rules_in_force", 40, "a newer version of the rules is in force: `version`";
-    RulesUnreadable = "rules_unreadable", 10, "rules cannot be read, the old ones stay: `fault`";
-    RosterFromPeer = "roster_from_peer", 20, "a whole endpoint list came from a peer: `as_of` revision, its age in ms (`age_ms`), the process that heard it from the store (`vouched_by`), how many entries the peer doubts (`doubted`), for how much longer what it lacks may have lapsed (`unsettled_ms`)";
-    NewsMeasured = "news_measured", 2, "what one exchange with a process took of the links of the collector, once a second: bytes of the parts of its `report` and of its answer (`digest`), all bytes `sent` to and `received` from peers since the start";
-    EndpointStage = "endpoint_stage", 200, "an endpoint is new or changed its stage: `endpoint`, `service`, `domain`, `stage`, `market`, `revision`, `life`";
-    EndpointOutlived = "endpoint_outlived", 20, "news of a former life of an endpoint was left out: `endpoint`, `lives` known and told, `revision`";
-    EndpointDoubted = "endpoint_doubted", 200, "the list lost an endpoint while the store was away; it is the last resort: `endpoint`, for how long (`for_ms`)";
-    EndpointGone = "endpoint_gone", 200, "an endpoint is gone: `endpoint`, the revision that the list was as of before (`as_of`)";
-    EndpointUnreadable = "endpoint_unreadable", 20, "an endpoint's entry cannot be read: `endpoint`, `fault`";
-    ReleaseStaged = "release_staged", 20, "the order of a roll-out entered a stage at the process that carries it out: `service`, the version ordered (`to`), `stage`, `number` of the change, answers of the version `seen`, its `score` (12 and more is bad), requests of the service `sent` since the order, requests `handed` out to the version, its `endpoints`; at the beginning the time to decide in (`lasts_ms`) and the `revision`";
-    ReleaseWritten = "release_written", 20, "how an order stands was written to the store: `service`, `to`, `state`, the `revision` that was asked for, the `answer`";
-    ReleaseFault = "release_fault", 10, "an order of a roll-out cannot be carried out, or was withdrawn: `order`, `code`, `fault`, its `text`";
-    EnginesPaced = "engines_paced", 10, "engines of a service read at another speed than told before, in prompt tokens a millisecond: `service`, `per_ms`, `seen` tokens";
-    EndpointJudged = "endpoint_judged", 40, "what the collector says of an endpoint has changed: `bad` in what (`Failing`, `Slow`), or none if it is as good as the others; by answers that `came` and `failed` at all processes, faded, and how much slower than expected they came (`slowness`, in powers of two)";
-    EndpointLimit = "endpoint_limit", 100, "what an endpoint says it takes from all processes together has changed: `endpoint`, `life`, requests a second (`per_s`) now and `before`, none if it names no limit; heard in an `answer` of it, or `told` by another process (`by`); how long ago the request was sent that was answered so (`age_ms`)";
-    EndpointLeaving = "endpoint_leaving", 100, "an endpoint says in an `answer` that it leaves, or another process `told` that it did (`by`): `endpoint`, `life`, the stage in which the endpoint list has it (`listed`) and how old that list is (`list_ms`)";
-    EndpointRests = "endpoint_rests", 60, "an endpoint turned a request away and wants none from this process for a while: `endpoint`, `life`, `for_ms`, for how much longer with what it had said before (`left_ms`), whether it had asked for that already (`rested`: that request was under way, or went past it)";
-    EndpointsClosed = "endpoints_closed", 60, "a request is refused as every endpoint of its `service` that it may go to takes none now by its own word: of all `endpoints` how many are `limited`, at how many of these this process has a part of the limit (`with_part`), how many are `resting` for this process, how many said that they are `leaving`, how many it was turned away by (`tried`); when its caller may come back (`retry_ms`)";
-    WordUnreadable = "word_unreadable", 10, "an endpoint says something of itself that cannot be understood; what was known stays: `endpoint`, which `word`, its `text`, `code`";
-    EndpointEnded = "endpoint_ended", 60, "an endpoint ended while it ran requests of this process: `endpoint`, how it showed (`by`), how many requests it ran (`under`)";
-    RequestHeld = "request_held", 40, "a request is held back at this process from now on, as endpoints ended each time they ran it: `print`, the `endpoints`, how long ago the first and the last of them ended (`first_ms`, `last_ms`)";
-    RequestReleased = "request_released", 40, "a request is held back no more: it was answered, or another one explains its ends: `print`, how many ends are left (`ends`)";
-    SuspectForgotten = "suspect_forgotten", 10, "a request under which an endpoint ended was forgotten, to bound the memory: `print`";
-    RecordFault = "record_fault", 20, "an object that the collector keeps in the store could not be read or written; it is tried again: which `record`, `fault`";
-    LedgerBegan = "ledger_began", 20, "this process hands out the accounts' limits from now on, by what it knows of the time before (`by`: what the last ledger `handed` over or `told`, what the `store` has, `nothing`, or the one that it had ended itself and nobody took, `resumed`): how many `windows`, how old (`age_ms`)";
-    LedgerEnded = "ledger_ended", 20, "this process hands out no more, and passes on what it counted";
-    ClaimsLeftOut = "claims_left_out", 10, "processes named more than they were handed of accounts: `count`, `code`";
-    EvidenceLeftOut = "evidence_left_out", 10, "a report told of endpoints or lives that are not known here, or what cannot be true: `member`, `count`, `code`";
-    EvidenceWithheld = "evidence_withheld", 10, "this process woke late (`late_ms`), and does not speak against endpoints for that time";
-    MembersRead = "members_read", 10, "the other processes were read from the store: `cards`";
-    MemberFault = "member_fault", 20, "a member, its card or a seed is out of reach: `member`, `fault`";
-    MemberRemoved = "member_removed", 20, "the card of a process that is gone was removed: `member`, `done`";
-    CollectorChosen = "collector_chosen", 20, "this process goes by another collector: `collector`, `sent` there by one that was asked";
+    RulesUnreadable = "rules_unreadable", 10, "the rules cannot be decoded and the old ones stay in force: `fault`";
+    RosterFromPeer = "roster_from_peer", 20, "a snapshot of the endpoint list was received from a peer: `as_of` revision, its age in ms (`age_ms`), the process that read it from the store (`vouched_by`), the number of entries that the peer could not confirm (`doubted`), for how much longer endpoints that are missing from it may still exist, their entries having expired (`unsettled_ms`)";
+    NewsMeasured = "news_measured", 2, "size of one exchange between the collector and a process, once a second: bytes of the parts of its `report` and of the answer (`digest`), all bytes `sent` to and `received` from peers since the start";
+    EndpointStage = "endpoint_stage", 200, "an endpoint was added or changed its stage: `endpoint`, `service`, `domain`, `stage`, `market`, `revision`, `life`";
+    EndpointOutlived = "endpoint_outlived", 20, "a list entry of an earlier incarnation of an endpoint was ignored: `endpoint`, `lives` known and received, `revision`";
+    EndpointDoubted = "endpoint_doubted", 200, "an endpoint vanished from the list during a store outage; it is used only if no other is left: `endpoint`, for how long (`for_ms`)";
+    EndpointGone = "endpoint_gone", 200, "an endpoint was removed: `endpoint`, the revision of the list before (`as_of`)";
+    EndpointUnreadable = "endpoint_unreadable", 20, "an endpoint's entry cannot be decoded: `endpoint`, `fault`";
+    ReleaseStaged = "release_staged", 20, "a roll-out order entered a stage at the process that executes it: `service`, the ordered version (`to`), `stage`, `number` of the change, answers of the version `seen`, its `score` (12 and more is bad), requests of the service `sent` since the order, requests granted to the version (`handed`), its `endpoints`; at the beginning the time for the decision (`lasts_ms`) and the `revision`";
+    ReleaseWritten = "release_written", 20, "the state of a roll-out order was written to the store: `service`, `to`, `state`, the `revision` that the write expected, the `answer`";
+    ReleaseFault = "release_fault", 10, "a roll-out order cannot be executed, or was withdrawn: `order`, `code`, `fault`, its `text`";
+    EnginesPaced = "engines_paced", 10, "the measured prefill speed of a service's engines changed, in prompt tokens a millisecond: `service`, `per_ms`, `seen` tokens";
+    EndpointJudged = "endpoint_judged", 40, "the collector's verdict on an endpoint changed: `bad` (`Failing`, `Slow`), or none if it is as good as the others; decayed counts of answers that `came` and `failed` at all processes, and how much slower than expected they were (`slowness`, in powers of two)";
+    EndpointLimit = "endpoint_limit", 100, "the rate limit that an endpoint signals for all processes together changed: `endpoint`, `life`, requests a second (`per_s`) now and `before`, none if it signals no limit; whether it was read from an `answer` or `told` by another process (`by`); how long ago the request of that answer was sent (`age_ms`)";
+    EndpointLeaving = "endpoint_leaving", 100, "an endpoint signalled in an `answer` that it is leaving, or another process `told` of it (`by`): `endpoint`, `life`, its stage in the endpoint list (`listed`) and the age of that list (`list_ms`)";
+    EndpointRests = "endpoint_rests", 60, "an endpoint refused a request and signalled a backoff to this process: `endpoint`, `life`, `for_ms`, the time left of this and earlier backoffs (`left_ms`), whether a backoff was in force already (`rested`: the request was in flight or ignored it)";
+    EndpointsClosed = "endpoints_closed", 60, "a request is refused because every eligible endpoint of its `service` has signalled that it accepts none now: of all `endpoints` how many are `limited`, at how many of these this process has a share of the limit (`with_part`), how many are in a backoff for this process (`resting`), how many are `leaving`, how many refused this request (`tried`); the Retry-After time (`retry_ms`)";
+    WordUnreadable = "word_unreadable", 10, "a signal of an endpoint cannot be parsed, and the known value stays: `endpoint`, which `word`, its `text`, `code`";
+    EndpointEnded = "endpoint_ended", 60, "an endpoint crashed while it ran requests of this process: `endpoint`, how it was detected (`by`), the number of these requests (`under`)";
+    RequestHeld = "request_held", 40, "a request is quarantined at this process from now on, because endpoints crashed each time they ran it: `print`, the `endpoints`, how long ago the first and the last of them crashed (`first_ms`, `last_ms`)";
+    RequestReleased = "request_released", 40, "a request is no longer quarantined: it was answered, or another request explains the crashes: `print`, the number of crashes left (`ends`)";
+    SuspectForgotten = "suspect_forgotten", 10, "a request under which an endpoint crashed was evicted to bound the memory: `print`";
+    RecordFault = "record_fault", 20, "a record that the collector persists in the store could not be read or written, and is retried: `record`, `fault`";
+    LedgerBegan = "ledger_began", 20, "this process allots the accounts' limits from now on, starting with the windows from a source (`by`: `handed` over or `told` by the last ledger, read from the `store`, `nothing`, or its own ledger that it had ended and nobody took over, `resumed`): the number of `windows`, their age (`age_ms`)";
+    LedgerEnded = "ledger_ended", 20, "this process allots the accounts' limits no longer and hands over its counts";
+    ClaimsLeftOut = "claims_left_out", 10, "processes claimed more tokens than were allotted to them: `count`, `code`";
+    EvidenceLeftOut = "evidence_left_out", 10, "evidence in a report named unknown endpoints or incarnations, or had impossible values: `member`, `count`, `code`";
+    EvidenceWithheld = "evidence_withheld", 10, "this process was suspended for a while (`late_ms`) and withholds its evidence against endpoints of that time";
+    MembersRead = "members_read", 10, "the membership records were read from the store: `cards`";
+    MemberFault = "member_fault", 20, "a member, its membership record or a seed cannot be reached: `member`, `fault`";
+    MemberRemoved = "member_removed", 20, "the membership record of a process that has ended was removed: `member`, `done`";
+    CollectorChosen = "collector_chosen", 20, "this process reports to another collector: `collector`, whether it was redirected there (`sent`)";
     CollectorSilent = "collector_silent", 20, "the collector did not answer: `collector`";
-    CollectingBegan = "collecting_began", 20, "this process collects: `members`";
-    CollectingEnded = "collecting_ended", 20, "nobody reports here any more, or this process stood still: `slept`";
-    TurnedAway = "turned_away", 20, "whether the store serves others but not this process: `so`";
-    LeaseChanged = "lease_changed", 20, "the lease of the control work was taken or lost: `fence`";
-    LeaseFault = "lease_fault", 10, "a call for the lease failed: `fault`";
-    UsageReported = "usage_reported", 20, "a window's usage was taken: `window`, `requests`";
-    UsageFault = "usage_fault", 20, "a usage report failed and is tried again: `window`, `fault`";
+    CollectingBegan = "collecting_began", 20, "this process is the collector from now on: `members`";
+    CollectingEnded = "collecting_ended", 20, "this process is the collector no longer: no process reports to it, or it was suspended (`slept`)";
+    TurnedAway = "turned_away", 20, "the store serves other processes but not this one, or does so no longer: `so`";
+    LeaseChanged = "lease_changed", 20, "the lease for control work was acquired or lost: `fence`";
+    LeaseFault = "lease_fault", 10, "a store call for the lease failed: `fault`";
+    UsageReported = "usage_reported", 20, "the platform accepted the usage report of a window: `window`, `requests`";
+    UsageFault = "usage_fault", 20, "a usage report failed and is retried: `window`, `fault`";
     EndpointsOrdered = "endpoints_ordered", 40, "replicas were ordered: `service`, `domain`, `market`, `count`, `needed`, `fence`, `answer`";
-    InternalFault = "internal_fault", 20, "something that should not happen: `fault`";
-    LinesLeftOut = "lines_left_out", 10, "lines of a kind were left out in the last second: `kind`, `count`";
+    InternalFault = "internal_fault", 20, "an internal error: `fault`";
+    LinesLeftOut = "lines_left_out", 10, "lines of a kind were dropped in the last second: `kind`, `count`";
 }
 
-/// The second in which a kind is counted.
+/// Interval of the rate limits.
 const SECOND: TimeSpan = TimeSpan(1000);
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -116,7 +115,7 @@
     left_out: u32,
 }
 
-/// Counts lines of each kind.
+/// Limits the lines a second of each kind.
 #[derive(Debug)]
 pub struct EventBudget {
     counts: RefCell<Vec<KindCount>>,
@@ -129,8 +128,8 @@
 }
 
 impl EventBudget {
-    /// Whether a line of `kind` may be written at `now`; and, at the first line of a new second, how
-    /// many were left out in the last one.
+    /// Returns whether a line of `kind` may be written at `now` and, for the first line of a new second, how
+    /// many were dropped in the last one.
     pub fn take(&self, kind: EventKind, now: ClockTime) -> (bool, Option<u32>) {
         let mut counts = self.counts.borrow_mut();
         let count = &mut counts[kind as usize];
@@ -148,7 +147,7 @@
     }
 }
 
-/// All kinds as a Markdown table: docs/EVENTS.md is made from it.
+/// All kinds as a Markdown table, from which docs/EVENTS.md is generated.
 pub fn event_table() -> String {
     let mut table =
         String::from("| event | lines a second | meaning and fields |\n|---|---|---|\n");
@@ -158,7 +157,7 @@
     table
 }
 
-/// Writes a line of a kind, within its budget.
+/// Writes a line of a kind unless its rate limit is exceeded.
 macro_rules! event {
     ($node:expr, $kind:ident) => {
         event!($node, $kind;)
--- a/crates/front/src/ingress.rs
+++ b/crates/front/src/ingress.rs
@@ -1,8 +1,8 @@
-//! Callers' connections: reads requests within the operators' bounds, and notices a caller that
-//! leaves while its answer is made.
+//! Accepts callers' HTTP connections, reads requests within the configured size and time limits, and
+//! cancels a request whose caller disconnects.
 //!
-//! The library's own connection loop takes its bounds when it is built; here they change with the
-//! rules in force. So the loop is ours and the codec is the library's.
+//! The connection loop of `actix_http` fixes its limits when it is built. Here the limits change with
+//! the rules in force, so this module has its own loop and uses only the codec of `actix_http`.
 
 use crate::answer::AnswerWriter;
 use crate::drive::serve_call;
@@ -26,25 +26,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes read at once.
+/// Bytes reserved for one read.
 const READ_SIZE: usize = 4096;
-/// Bytes of following requests that are read while one is answered; more wait in the socket.
+/// Most bytes of pipelined requests that are buffered while one is answered; the rest stays in the socket.
 const PIPELINE_LIMIT: usize = 64 << 10;
-/// How long bytes of a refused request are still read, so that its caller sees the refusal instead
-/// of a reset.
+/// How long the rest of a refused request is read and discarded, so that its caller sees the refusal
+/// instead of a connection reset.
 const LINGER_TIME: Duration = Duration::from_millis(500);
-/// How many of them.
+/// Most bytes of a refused request that are read and discarded.
 const LINGER_BYTES: usize = 1 << 20;
 
-/// A request as it was read.
+/// A caller's request, read completely.
 pub struct CallerRequest {
-    /// Its head.
+    /// Request line and headers.
     pub head: RequestHead,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Accepts callers until the task is ended.
+/// Accepts connections of callers until the task is cancelled.
 pub async fn accept_callers(node: Rc<FrontNode>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -52,7 +52,7 @@
                 actix_rt::spawn(serve_connection(node.clone(), stream));
             }
             Err(fault) => {
-                // Out of descriptors, most likely; those in use are given back within moments.
+                // Most likely the process is out of file descriptors; connections that close release some soon.
                 event!(node, CallerFault; "fault" => fault.to_string());
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
             }
@@ -96,7 +96,7 @@
     node.rules.borrow().current().map_or_else(CallerBounds::default, |rules| rules.bounds())
 }
 
-/// Waits for a request and reads its head.
+/// Waits for a request and reads its head within the limits of `bounds`.
 async fn read_head(
     node: &FrontNode,
     stream: &mut TcpStream,
@@ -139,8 +139,8 @@
     }
 }
 
-/// Waits for the first byte of a request; says whether one came. An idle connection ends quietly
-/// after its time, or when the process stops.
+/// Waits for the first byte of a request; returns false if the caller closed the connection, the idle
+/// timeout passed, or the process closes idle connections because it stops.
 async fn wait_first_byte(
     node: &FrontNode,
     stream: &mut TcpStream,
@@ -156,7 +156,7 @@
     }
 }
 
-/// Reads a request's body. `Err(None)` means that the caller is gone.
+/// Reads a request's body. `Err(None)` means that the caller disconnected.
 async fn read_body(
     stream: &mut TcpStream,
     codec: &mut Codec,
@@ -202,7 +202,7 @@
     }
 }
 
-/// Answers one request; says whether the connection may carry another.
+/// Answers one request; returns whether the connection can be used for another.
 async fn answer_request(
     node: &Rc<FrontNode>,
     stream: &mut TcpStream,
@@ -226,7 +226,7 @@
     }
 }
 
-/// Waits until the caller closes its side. What it sends meanwhile is kept for later.
+/// Waits until the caller closes its side. Bytes that it sends meanwhile are buffered as pipelined requests.
 async fn wait_caller_close(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
     while buffer.len() < PIPELINE_LIMIT {
         buffer.reserve(READ_SIZE);
@@ -238,8 +238,9 @@
     std::future::pending().await
 }
 
-/// Refuses a request that was not read to its end. What is still on its way is read for a moment:
-/// closing a connection with unread bytes resets it, and the caller would never see why.
+/// Refuses a request that was not read completely, and closes the connection. The rest of the request
+/// is read first: closing a socket with unread bytes resets the connection, and the caller would lose
+/// the refusal.
 async fn refuse_and_close(mut stream: TcpStream, codec: &mut Codec, code: ResultCode) {
     let written = {
         let (_, writer) = stream.split();
@@ -247,7 +248,7 @@
     };
     if written.is_ok() && stream.shutdown().await.is_ok() {
         let lingering = tokio::time::timeout(LINGER_TIME, discard(&mut stream));
-        // Whatever comes of it, the connection is closed.
+        // The connection is closed whether or not the rest could be read.
         let _ = lingering.await;
     }
 }
--- a/crates/front/src/kept.rs
+++ b/crates/front/src/kept.rs
@@ -1,8 +1,8 @@
-//! Objects that the collecting process keeps in the store, for processes that begin when none is left that knows.
+//! Persists shared state in the store, so that it survives a restart of all processes.
 //!
-//! All processes may be killed at once, and what they knew is gone then. The process that collects reads such an object
-//! once as it begins to collect, and writes it when what all know changes; the others hear of it by its digests.
-//! Calls grow neither with processes nor with requests.
+//! All processes may be killed at once, and their memory is lost then. The collector reads a record once when it
+//! becomes the collector, and writes it when the shared state changes; the other processes receive the state in its
+//! digests. So the number of store calls grows neither with processes nor with requests.
 
 use crate::events::event;
 use crate::node::FrontNode;
@@ -12,54 +12,54 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The first pause after a call that failed, and the longest.
+/// The first and the longest backoff after a failed store call.
 const FAULT_BACKOFF: (TimeSpan, TimeSpan) = (TimeSpan(200), TimeSpan(2000));
 
-/// What is kept in one object.
+/// State that is persisted as one store object.
 pub trait StoredRecord {
-    /// What differs if the object must be written.
+    /// Identifies a content of the object; the object is written when it changes.
     type Mark: PartialEq;
 
-    /// The object's kind.
+    /// Kind of the store object.
     const KIND: FeedKind;
-    /// The object's name.
+    /// Name of the store object.
     const NAME: &'static str = "all";
-    /// Between two looks whether something is to be done.
+    /// Interval between two checks whether the object must be read or written.
     const CHECK_PERIOD: TimeSpan;
 
-    /// What ends the pause between two looks early, if anything does.
+    /// Notification that triggers a check before the interval is over, if there is one.
     fn wake(_node: &FrontNode) -> Option<&Notify> {
         None
     }
 
-    /// Whether this process keeps the object.
+    /// Whether this process reads and writes the object at present.
     fn is_writer(&self, node: &FrontNode) -> bool;
 
-    /// Whether the object is to be read although it is known.
+    /// Whether the object must be read again although its revision is known.
     fn must_reload(&self, _node: &FrontNode) -> bool {
         false
     }
 
-    /// Takes what the object says; there may be none.
+    /// Applies the object that was read, or its absence, and identifies its content.
     fn take(&mut self, node: &FrontNode, object: Option<&FeedObject>) -> Self::Mark;
 
-    /// What the object should say; none if there is nothing to say.
+    /// The content that the object should have; none if it need not be written.
     fn current(&mut self, node: &FrontNode) -> Option<(Bytes, Self::Mark)>;
 
-    /// Notes that the store has what `current` gave last.
+    /// Called after the content that `current` returned last was written.
     fn note_written(&mut self, _node: &FrontNode) {}
 
-    /// Notes that the store did not say what the object holds.
+    /// Called after a read of the object failed.
     fn note_read_failure(&mut self, _node: &FrontNode) {}
 }
 
-/// The object as this process knows it.
+/// Revision and content of the object as last read or written.
 struct CachedObject<M> {
     guard: FeedGuard,
     mark: M,
 }
 
-/// Keeps an object until the task is ended.
+/// Reads and writes the object of `record` until the task is cancelled.
 pub async fn sync_record<R: StoredRecord>(node: Rc<FrontNode>, mut record: R) {
     let mut known = None;
     let (first, longest) = FAULT_BACKOFF;
@@ -92,7 +92,7 @@
     }
 }
 
-/// Reads the object and takes what it says; none if the store did not answer.
+/// Reads and applies the object; none if the read failed.
 async fn read_object<R: StoredRecord>(
     node: &FrontNode,
     record: &mut R,
@@ -116,7 +116,7 @@
     CachedObject { guard, mark: record.take(node, object) }
 }
 
-/// Writes the object if it should say something else; none if it must be read anew.
+/// Writes the object if its content has changed; none if it must be read again.
 async fn write_object<R: StoredRecord>(
     node: &FrontNode,
     record: &mut R,
--- a/crates/front/src/meter.rs
+++ b/crates/front/src/meter.rs
@@ -1,18 +1,18 @@
 //! Counters and latency histograms of a front process.
 //!
-//! Labels are services, result codes and kinds of ends: bounded by the rules in force and by the
-//! tables of this project. Accounts and endpoints are in the log, not here.
+//! Labels are services, versions, result codes and other values from fixed tables, so that their number is
+//! bounded. Accounts and endpoints appear in the log only.
 
 use oleander_board::meter::MeterBase;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram};
 
-/// Upper bounds of latency buckets, in milliseconds: around the objectives of today's routes (100,
+/// Upper bounds of the latency buckets, in milliseconds, close to the latency objectives of the routes (100,
 /// 500 and 800 ms) and their timeouts.
 const LATENCY_BOUNDS: [f64; 13] =
     [5.0, 10.0, 20.0, 50.0, 100.0, 200.0, 350.0, 500.0, 800.0, 1500.0, 3000.0, 7000.0, 15_000.0];
 
-/// The instruments.
+/// Metrics of a front process.
 pub struct FrontMeter {
     base: MeterBase,
     requests: Counter<u64>,
@@ -59,64 +59,64 @@
 }
 
 impl FrontMeter {
-    /// Counts a request that is over. `code` is 0 for a whole answer, else a result code.
+    /// Counts a finished request. `code` is 0 for a complete answer, else the result code.
     pub fn count_request(&self, service: &str, code: u16, total_ms: f64) {
         let service = KeyValue::new("service", service.to_owned());
         self.total_ms.record(total_ms, std::slice::from_ref(&service));
         self.requests.add(1, &[service, KeyValue::new("code", i64::from(code))]);
     }
 
-    /// Notes the time to the first event, or to a whole answer.
+    /// Records the time to the first event, or to a complete answer.
     pub fn record_first_ms(&self, service: &str, ms: f64) {
         self.first_ms.record(ms, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts an attempt by its end.
+    /// Counts an attempt by how it ended.
     pub fn count_attempt(&self, end: &'static str) {
         self.attempts.add(1, &[KeyValue::new("end", end)]);
     }
 
-    /// Notes how old the endpoint list was by which an endpoint was chosen.
+    /// Records the age of the endpoint list when an endpoint was chosen.
     pub fn record_list_age(&self, ms: f64) {
         self.list_age_ms.record(ms, &[]);
     }
 
-    /// Notes how long a request waited for a word of the ledger, and what came of it.
+    /// Records how long a request waited for the ledger, and the result.
     pub fn record_ledger_wait(&self, outcome: &'static str, ms: f64) {
         self.limit_ask_ms.record(ms, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a stream that goes on at another endpoint.
+    /// Counts a stream that was resumed at another endpoint.
     pub fn count_resume(&self) {
         self.resumes.add(1, &[]);
     }
 
-    /// Counts prompt tokens that an endpoint had to read.
+    /// Counts prompt tokens that an endpoint had to prefill.
     pub fn count_unread_tokens(&self, tokens: u64) {
         self.unread_tokens.add(tokens, &[]);
     }
 
-    /// Counts a call to the store that failed.
+    /// Counts a failed store call of a feed.
     pub fn count_store_fault(&self, feed: &'static str) {
         self.store_faults.add(1, &[KeyValue::new("feed", feed)]);
     }
 
-    /// Counts an order for endpoints.
+    /// Counts an order for endpoints, by whether the cloud accepted it.
     pub fn count_order(&self, taken: bool) {
         self.orders.add(1, &[KeyValue::new("taken", taken)]);
     }
 
-    /// Counts evidence of endpoints that was left out, as nobody knows them or it cannot be true.
+    /// Counts evidence that was rejected because its endpoint is unknown or its values are impossible.
     pub fn count_evidence_left_out(&self, count: u64) {
         self.evidence_left_out.add(count, &[]);
     }
 
-    /// Counts a change of what an endpoint says of itself, by the word and how it was heard.
+    /// Counts a change of an endpoint's signal, by the kind of signal (`word`) and its source (`by`).
     pub fn count_word(&self, word: &'static str, by: &'static str) {
         self.words.add(1, &[KeyValue::new("word", word), KeyValue::new("by", by)]);
     }
 
-    /// Counts an attempt at an endpoint of a version, by its end; versions of a service are few at a time.
+    /// Counts an attempt by the version of its endpoint and how it ended; a service has few versions at a time.
     pub fn count_version(&self, service: &str, version: &str, end: &'static str) {
         let labels = [
             KeyValue::new("service", service.to_owned()),
@@ -126,12 +126,12 @@
         self.version_attempts.add(1, &labels);
     }
 
-    /// Counts a usage report.
+    /// Counts a usage report, by whether the platform accepted it.
     pub fn count_usage(&self, taken: bool) {
         self.usage_reports.add(1, &[KeyValue::new("taken", taken)]);
     }
 
-    /// All metrics in Prometheus' text form.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         self.base.text()
     }
--- a/crates/front/src/port.rs
+++ b/crates/front/src/port.rs
@@ -1,4 +1,5 @@
-//! What the front process asks of a platform's adapter: translation, and nothing else.
+//! The interface to a platform adapter, which translates between the platform's formats and the types of
+//! the front process.
 
 use actix_http::header::HeaderMap;
 use actix_http::{RequestHead, ResponseHead};
@@ -9,49 +10,48 @@
 use oleander_plat::FeedObject;
 use oleander_release::{OrderEntry, ReleaseState};
 
-/// Translates between the engine's types and the platform's names and formats.
+/// Translates between the types of the front process and the headers and formats of a platform.
 pub trait PlatformDialect {
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
-    /// The code of the refusal if the head lacks what every request needs.
+    /// The result code of the refusal if a required header is missing or invalid.
     fn parse_request(&self, head: &RequestHead) -> Result<CallHead, ResultCode>;
 
-    /// Takes out of a request's headers what concerns one connection only, and what is ours to set:
-    /// a caller must not be able to set it.
+    /// Removes hop-by-hop headers from a request, and headers that only the front process may set.
     fn strip_request(&self, headers: &mut HeaderMap);
 
-    /// Writes what an attempt tells its endpoint.
+    /// Sets the headers that carry the data of an attempt to its endpoint.
     fn stamp_request(&self, headers: &mut HeaderMap, stamp: &AttemptStamp);
 
-    /// Reads the head of an endpoint's answer.
+    /// Parses the head of an endpoint's answer.
     fn parse_answer(&self, head: &ResponseHead) -> AnswerMark;
 
-    /// Takes out of an answer's headers what concerns one connection only.
+    /// Removes hop-by-hop headers from an answer.
     fn strip_answer(&self, headers: &mut HeaderMap);
 
-    /// Reads the operators' rules.
+    /// Decodes the operators' rules.
     ///
     /// # Errors
-    /// What cannot be read.
+    /// A description of what cannot be decoded.
     fn decode_rules(&self, object: &FeedObject) -> Result<RuleSet, String>;
 
-    /// Reads an endpoint's entry as it was heard at `now`.
+    /// Decodes an endpoint's entry that was received at `now`.
     ///
     /// # Errors
-    /// What cannot be read.
+    /// A description of what cannot be decoded.
     fn decode_endpoint(&self, object: &FeedObject, now: ClockTime)
     -> Result<EndpointEntry, String>;
 
-    /// Reads an order of a roll-out.
+    /// Decodes a roll-out order.
     ///
     /// # Errors
-    /// What cannot be read.
+    /// A description of what cannot be decoded.
     fn decode_release(&self, object: &FeedObject) -> Result<OrderEntry, String>;
 
-    /// Writes how an order for the version `to` stands.
+    /// Encodes the state of a roll-out order for the version `to`.
     ///
     /// # Errors
-    /// What cannot be written.
+    /// A description of what cannot be encoded.
     fn encode_release_state(&self, state: ReleaseState, to: &str) -> Result<Bytes, String>;
 }
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -1,4 +1,4 @@
-//! Answers that are streams of events.
+//! Forwards answers that are server-sent event streams, and resumes broken ones.
 
 use crate::answer::AnswerStage;
 use crate::drive::{AttemptOutcome, CallContext};
@@ -13,16 +13,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Times the longest pause of an on-time stream after which a silent stream is gone on with
-/// elsewhere. An engine that has to read a prompt again in the middle of a stream is silent for a
-/// few hundred milliseconds; callers leave after about eight such pauses.
+/// Multiple of the route's pause objective after which a silent stream is resumed at another endpoint.
+/// An engine that has to prefill a prompt again in the middle of a stream is silent for a few hundred
+/// milliseconds; callers disconnect after about eight such pauses.
 const STALL_PAUSES: u32 = 3;
 
-/// Passes events on as they come.
+/// Forwards events to the caller as they arrive.
 ///
-/// The head leaves with the first event, so that an attempt that breaks before it can be replaced
-/// without a trace. Only whole events leave: a stream that breaks in the middle of one goes on from
-/// the last whole one.
+/// The response head is sent with the first event, so that an attempt that breaks before it can be
+/// retried unnoticed by the caller. Only complete events are sent: a stream that breaks in the middle of
+/// an event is resumed after the last complete one.
 pub async fn forward_events(
     context: &mut CallContext<'_, '_>,
     mut body: BodyLink,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The whole events that `cutter` holds, without those the caller has; `None` if one has no end.
+/// The complete events in `cutter` that the caller has not received yet; `None` if an event is too long.
 fn complete_events(context: &mut CallContext<'_, '_>, cutter: &mut EventCutter) -> Option<Bytes> {
     let mut out = BytesMut::new();
     while let Some(event) = cutter.next_event().ok()? {
@@ -108,7 +108,7 @@
     chunk: Bytes,
 ) -> std::io::Result<()> {
     if context.answer.stage() == AnswerStage::Waiting {
-        // A stream that goes on elsewhere keeps the head it began with.
+        // A resumed stream keeps the head of its first attempt.
         context.answer.begin_stream(status, headers.take().unwrap_or_default())?;
     }
     if chunk.is_empty() {
@@ -117,8 +117,7 @@
     context.answer.write_chunk(chunk).await
 }
 
-/// Notes how long the caller waited for this piece since the one before, a change of the engine
-/// included.
+/// Updates the longest pause between two chunks, including the time that a resumption took.
 fn note_chunk(context: &mut CallContext<'_, '_>) {
     let now = Instant::now();
     if let Some(before) = context.last_chunk_at.replace(now) {
@@ -127,8 +126,8 @@
     }
 }
 
-/// Notes of a stream that came to its end whether it paused for too long. One that ran for less than twice the
-/// longest pause says nothing: hardly any prompt was read meanwhile.
+/// Records whether a finished stream paused for longer than the route allows. A stream that took less than twice
+/// that pause is not counted: hardly any prompt was prefilled meanwhile.
 fn note_pauses(context: &CallContext<'_, '_>) {
     let (Some(longest), Some(first_chunk_at)) = (context.route().pause, context.first_chunk_at)
     else {
--- a/crates/front/src/trace.rs
+++ b/crates/front/src/trace.rs
@@ -1,4 +1,4 @@
-//! What is told of a request once it is over: one line, whatever became of it.
+//! Writes one log line for each finished request, whatever its outcome.
 
 use crate::answer::AnswerWriter;
 use crate::drive::CallOutcome;
@@ -11,35 +11,35 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// What is told of a request once it is over.
+/// Data of a request for its log line.
 pub struct CallTrace {
-    /// When its head had been read.
+    /// When its head was read.
     pub(crate) arrived: Instant,
-    /// Its id.
+    /// Request id.
     pub(crate) request: CompactString,
-    /// What tells that it is the same as another; none if it was refused before.
+    /// Fingerprint of its content; none if the request was refused before it was computed.
     pub(crate) fingerprint: Option<RequestPrint>,
-    /// The service it goes to.
+    /// Service that it is routed to.
     pub(crate) service: CompactString,
-    /// The version of the rules that it was judged by.
+    /// Version of the rules that were applied to it.
     pub(crate) rules: u64,
-    /// Whether they were known to be the newest.
+    /// Whether these rules were known to be the newest.
     pub(crate) fresh: bool,
-    /// Attempts that were sent.
+    /// Number of attempts sent.
     pub(crate) sent: u32,
-    /// Whether an endpoint may have run it.
+    /// Whether the request may have run at an endpoint.
     pub(crate) may_have_run: bool,
-    /// The endpoint of the last attempt.
+    /// Endpoint of the last attempt.
     pub(crate) endpoint: Option<InstanceId>,
-    /// What that was chosen by.
+    /// The choice of that endpoint, with the figures it was based on.
     pub(crate) chosen: Option<PlaceChoice>,
-    /// How old the endpoint list was then.
+    /// Age of the endpoint list at that choice.
     pub(crate) list_age: Option<TimeSpan>,
-    /// The last event that its caller has.
+    /// ID of the last stream event that the caller has received.
     pub(crate) last_event: Option<u64>,
-    /// From its arrival to the first part of its answer.
+    /// Milliseconds from its arrival to the first part of its answer.
     pub(crate) first_ms: Option<u64>,
-    /// The longest pause between two pieces of a stream.
+    /// Longest pause between two chunks of the stream.
     pub(crate) longest_pause: Option<TimeSpan>,
 }
 
@@ -63,13 +63,13 @@
         }
     }
 
-    /// The limit of the endpoint chosen, and how old the word of it was.
+    /// Rate limit that the chosen endpoint signalled, and the age of that signal.
     fn limit(&self) -> Option<String> {
         let (rate, age) = self.chosen?.limit?;
         Some(format!("{rate}, {} ms", age.0))
     }
 
-    /// Writes the request's line and counts it.
+    /// Writes the log line of the request and updates the metrics.
     fn log_outcome(&self, node: &FrontNode, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
         let total_ms = self.arrived.elapsed().as_millis() as u64;
         let request = self.request.as_str();
@@ -106,21 +106,21 @@
     }
 }
 
-/// Tells of a request also if its caller leaves: its task ends without another word then.
+/// Writes the log line also when the caller disconnects, which drops the task of the request.
 pub struct TraceGuard {
     node: Rc<FrontNode>,
-    /// What there is to tell so far.
+    /// Data gathered so far.
     pub(crate) trace: CallTrace,
     logged: bool,
 }
 
 impl TraceGuard {
-    /// Begins with a request that arrived now.
+    /// Starts the trace of a request that arrives now.
     pub fn new(node: &Rc<FrontNode>) -> Self {
         TraceGuard { node: node.clone(), trace: CallTrace::new(), logged: false }
     }
 
-    /// Tells how the request ended.
+    /// Logs the outcome of the request.
     pub fn finish(mut self, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
         self.trace.log_outcome(&self.node, answer, outcome);
         self.logged = true;
@@ -135,6 +135,6 @@
         let total_ms = self.trace.arrived.elapsed().as_millis() as u64;
         event!(self.node, RequestCut;
             "request" => self.trace.request.as_str(), "service" => self.trace.service.as_str(),
-            "why" => "the caller left", "sent" => self.trace.sent, "total_ms" => total_ms);
+            "why" => "the caller disconnected", "sent" => self.trace.sent, "total_ms" => total_ms);
     }
 }
--- a/crates/front/src/whole.rs
+++ b/crates/front/src/whole.rs
@@ -1,4 +1,4 @@
-//! Answers of one body.
+//! Forwards answers that are not streams, buffered until they are complete.
 
 use crate::drive::{AttemptOutcome, CallContext, EndpointAnswer};
 use actix_http::ResponseHead;
@@ -8,12 +8,12 @@
 use oleander_place::EndpointKey;
 use tokio::time::Instant;
 
-/// The longest body that is held until it is whole, in bytes. Holding it lets another attempt
-/// replace an answer that breaks off; answers of plain services are a few kilobytes.
+/// Largest body that is buffered, in bytes; a longer one fails the attempt. Buffering lets a retry replace
+/// an answer that breaks off. Answers of plain services are a few kilobytes.
 const BUFFER_LIMIT: usize = 4 << 20;
 
-/// Reads a whole answer and gives it to the caller, or back to the caller of this function if
-/// another attempt may do better.
+/// Reads a complete answer and writes it to the caller. A server error is returned instead, because a
+/// retry may succeed.
 pub async fn forward_whole(
     context: &mut CallContext<'_, '_>,
     mut body: BodyLink,
--- a/crates/front/src/work.rs
+++ b/crates/front/src/work.rs
@@ -1,4 +1,4 @@
-//! The work this process has at an endpoint, counted while it lasts.
+//! Tracks the requests that this process has in flight at each endpoint, and samples how they end.
 
 use crate::evidence::WaitTicket;
 use crate::node::FrontNode;
@@ -8,25 +8,25 @@
 use oleander_place::{EndpointKey, WorkLoad};
 use std::rc::Rc;
 
-/// How long the first part of an answer is usually waited for.
+/// How long the first part of an answer is expected to take.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerWait {
-    /// By what waits at the endpoint.
+    /// Estimate by the queue at the endpoint.
     pub expected: TimeSpan,
-    /// By the route.
+    /// Latency objective of the route.
     pub objective: TimeSpan,
 }
 
 impl AnswerWait {
-    /// When an answer that was asked for at `now` is overdue: past all that a sound endpoint takes, so that
-    /// a mute one shows before its callers give up.
+    /// When the answer to a request sent at `now` is overdue. It is later than a healthy endpoint takes, and
+    /// early enough that a hanging endpoint is noticed before its callers give up.
     fn overdue_at(&self, now: ClockTime) -> ClockTime {
         const TIMES: u64 = 2;
         now + TimeSpan(self.expected.max(self.objective).0 * TIMES)
     }
 }
 
-/// One attempt's share of the load of its endpoint; gives it back when it is dropped.
+/// Counts one attempt in the load of its endpoint until it is dropped.
 pub struct WorkGuard {
     node: Rc<FrontNode>,
     key: EndpointKey,
@@ -35,12 +35,12 @@
     began_at: ClockTime,
     answered_at: Option<ClockTime>,
     ticket: Option<WaitTicket>,
-    /// The route, if answers are compared by route.
+    /// Name of the route, if samples are compared by route.
     route: Option<CompactString>,
 }
 
 impl WorkGuard {
-    /// Counts an attempt that makes `key` read `unread_tokens` tokens.
+    /// Counts an attempt for which the endpoint `key` has to prefill `unread_tokens` prompt tokens.
     pub fn begin(
         node: &Rc<FrontNode>,
         key: EndpointKey,
@@ -62,17 +62,17 @@
         guard
     }
 
-    /// The endpoint.
+    /// The endpoint of the attempt.
     pub fn key(&self) -> EndpointKey {
         self.key
     }
 
-    /// Prompt tokens that are not known to be read yet.
+    /// Prompt tokens that the endpoint still has to prefill.
     pub fn unread_tokens(&self) -> u64 {
         self.unread_tokens
     }
 
-    /// The first part of the answer came.
+    /// Records that the first part of the answer has arrived.
     pub fn note_answered(&mut self) {
         let now = self.node.clock.now();
         self.answered_at.get_or_insert(now);
@@ -80,15 +80,15 @@
         self.settle(Some(AnswerSample::Came { took, expected: self.wait.expected }));
     }
 
-    /// Whether the endpoint has borne the request for a while: its answer began long ago.
+    /// Whether the endpoint has survived the request: its answer began more than `SURVIVAL_TIME` ago.
     pub fn has_survived(&self) -> bool {
-        /// A request that ends its endpoint was seen to do so 34 to 94 ms after it began; ten times that.
+        /// Requests that crash an endpoint were seen to do so 34 to 94 ms after they began; this is ten times that.
         const SURVIVAL_TIME: TimeSpan = TimeSpan(1000);
         let now = self.node.clock.now();
         self.answered_at.is_some_and(|at| now - at > SURVIVAL_TIME)
     }
 
-    /// The attempt failed by the endpoint's fault, perhaps after its answer had begun.
+    /// Records that the attempt failed at the endpoint, perhaps after its answer had begun.
     pub fn note_failed(&mut self) {
         if self.ticket.is_none() {
             let of = (self.key, self.route.clone());
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The prompt was read: the first event came.
+    /// Records that the prompt was prefilled: the first event has arrived.
     pub fn note_prompt_read(&mut self) {
         let tokens = std::mem::take(&mut self.unread_tokens);
         self.update_load(|own| own.unread_tokens = own.unread_tokens.saturating_sub(tokens));
--- a/tests/all/errors.rs
+++ b/tests/all/errors.rs
@@ -1,4 +1,4 @@
-//! Bad input and dead neighbours: a numbered error, and the process lives on.
+//! Invalid input and failed endpoints: callers get a numbered error, and the process keeps serving.
 
 use oleandertack::rig::cluster::{CALLER_KEY, MODEL, PLAIN};
 use oleandertack::rig::{Rig, RigSettings};
@@ -11,7 +11,7 @@
 
 async fn start() -> Rig {
     let settings = RigSettings { entries: 1, engines: 1, plains: 1, ..RigSettings::default() };
-    Rig::start(settings, |_, _| None).await.expect("the rig comes up")
+    Rig::start(settings, |_, _| None).await.expect("the rig starts")
 }
 
 async fn post(rig: &Rig, path: &str, key: &str, body: String) -> Answer {
@@ -78,8 +78,8 @@
 
 #[actix_rt::test]
 async fn with_every_endpoint_gone_callers_are_told_at_once_and_truly() {
-    // The caller sees 1008 or 1015 "not run". Every engine ended without a word; the entry's
-    // connections are refused, so it is sure that nothing left.
+    // Guards against an "uncertain" answer where "not run" (1008 or 1015) is certain: every engine was
+    // ended without notice, and the entry's connections are refused, so no byte was sent.
     let rig = start().await;
     for domain in oleandertack::rig::cluster::DOMAINS {
         let body = serde_json::json!({ "domain": domain, "notice_ms": 0 });
@@ -94,7 +94,7 @@
 
 #[actix_rt::test]
 async fn a_malformed_head_in_the_store_changes_nothing() {
-    // Operators see the old bundle in force. Somebody writes nonsense over the head.
+    // The head object is overwritten with invalid data. The bundle in force must stay.
     let rig = start().await;
     let store = oleandertack::ctl::platform::open_store(&rig.standin);
     use oleandertack::plat::{ObjectStore, VersionGuard};
--- a/tests/all/front.rs
+++ b/tests/all/front.rs
@@ -1,5 +1,5 @@
-//! Requests through a front process, over real connections, with scripted endpoints and a store in
-//! memory.
+//! Requests through a front process over real connections, with scripted endpoints and an in-memory
+//! store.
 
 use crate::scripted::{Act, Scripted, scripted};
 use bytes::Bytes;
@@ -19,13 +19,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A store that never changes.
+/// A store whose objects never change.
 pub struct StaticStore {
     objects: Vec<(FeedKind, FeedObject)>,
 }
 
 impl StaticStore {
-    /// The same with other rules.
+    /// The same store with changed rules.
     pub fn with_rules(mut self, change: impl Fn(&str) -> String) -> Self {
         for (_, object) in self.objects.iter_mut().filter(|(kind, _)| *kind == FeedKind::Rules) {
             object.body = Bytes::from(change(&String::from_utf8_lossy(&object.body)));
@@ -68,7 +68,7 @@
     }
 }
 
-/// A store whose list of endpoints has changed whenever it is asked.
+/// A store that returns a change of the endpoint list for every watch.
 struct ChangingStore {
     inner: StaticStore,
     asked: Rc<Cell<u32>>,
@@ -131,8 +131,8 @@
     FeedObject { name: name.into(), revision: 1, body: Bytes::from(body) }
 }
 
-/// A process of failure domain `near` before `endpoints`; the first is near, the others are far, so
-/// that it is tried first.
+/// A process in failure domain `near` with these endpoints. The first endpoint is in the same domain and
+/// the others are in `far`, so that the first is preferred.
 async fn front(endpoints: &[SocketAddr]) -> (FrontProcess, SocketAddr) {
     front_with_store(Box::new(static_store(endpoints))).await
 }
@@ -154,7 +154,7 @@
     front_with(FrontPorts { store, cloud: None, clock: NodeClock::default() }, bounds).await
 }
 
-/// A ready process with these ports and bounds.
+/// Starts a process with these ports and bounds, and waits until it is ready.
 pub async fn front_with(ports: FrontPorts, bounds: FrontBounds) -> (FrontProcess, SocketAddr) {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let settings = FrontSettings {
@@ -194,7 +194,7 @@
     )
 }
 
-/// What came back until the answer was whole, or the connection ended.
+/// The bytes received until the answer was complete or the connection ended.
 #[derive(Debug)]
 pub struct CallerAnswer {
     pub text: String,
@@ -242,7 +242,7 @@
     try_ask(address, text).await.expect("it listens")
 }
 
-/// None if nobody listens at `address`.
+/// Sends a request; none if the connection to `address` is refused.
 pub async fn try_ask(address: SocketAddr, text: &str) -> Option<CallerAnswer> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(text.as_bytes()).await.expect("written");
@@ -253,7 +253,7 @@
     Act::Say(text.to_owned())
 }
 
-/// A sound answer to the request it answers.
+/// A valid answer that carries the id of its request.
 fn sound(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {{id}}\r\nX-Oleandertack-Response-Seal: seal\r\n\
@@ -327,9 +327,9 @@
 
 #[test]
 fn a_safe_request_is_sent_again_and_one_that_must_not_repeat_is_not() {
-    // The near endpoint takes the request and resets the connection: it may have run. The caller of
-    // the safe one sees the far endpoint's answer, the other caller "uncertain", which is no "not
-    // run": the batch code may exist.
+    // The near endpoint receives the request and resets the connection, so the request may have run. A
+    // safe request is retried at the far endpoint. An unsafe one must not run twice, and its caller is
+    // told "uncertain" instead of "not run".
     run(async {
         let near = scripted(vec![vec![Act::Reset]]).await;
         let far = good("hello").await;
@@ -392,8 +392,8 @@
 
 #[test]
 fn a_stream_that_breaks_goes_on_elsewhere_from_the_last_whole_event() {
-    // The caller sees one answer with the first endpoint's head and every event once. The first
-    // endpoint breaks off in the middle of its third event.
+    // The first endpoint resets the connection in the middle of its third event. The caller must get one
+    // answer with the first endpoint's head and each event once.
     run(async {
         let torn = format!("{}id: 3\nda", events(1, 2));
         let near =
@@ -417,9 +417,9 @@
     process.node.usage.borrow().counts().map(|(_, _, count)| count).sum()
 }
 
-/// An account's usage is told too low while engines fail: each of these requests ran at an engine, and
-/// none of them brought an event. One engine fails by its own word, one resets the connection after it had
-/// the request. A request that runs at both is one all the same.
+/// Guards against usage that is reported too low while engines fail. Each request ran at an engine and got no
+/// event: one engine answers with an error, the other resets the connection after it received the request. A
+/// request that ran at both counts once.
 #[test]
 fn requests_that_ran_count_as_usage_although_their_answers_failed() {
     run(async {
@@ -443,7 +443,7 @@
     });
 }
 
-/// A caller's request is refused by the endpoint unrun, and its account is not charged for it.
+/// A request that the endpoint refused without running it must not count as usage of its account.
 #[test]
 fn requests_that_did_not_run_are_no_usage() {
     run(async {
@@ -474,8 +474,8 @@
 
 #[test]
 fn a_second_answer_is_never_given_to_another_request() {
-    // The endpoint answers the first request twice, the second time late: at the place where the
-    // answer to the second request is expected. Its caller must get its own answer.
+    // The endpoint answers the first request twice. The duplicate arrives where the answer to the second
+    // request is expected, and must not be passed to the second caller.
     run(async {
         let extra = sound("first").replace("{id}", "r1");
         let endpoint =
@@ -506,7 +506,7 @@
 
 #[test]
 fn a_caller_that_leaves_ends_its_request_at_the_endpoint() {
-    // An engine works for nobody: its caller closed the connection before the answer began.
+    // Guards against engines that keep working after the caller closed the connection.
     run(async {
         let endpoint = scripted(vec![vec![Act::AwaitClose]]).await;
         let (process, address) = front(&[endpoint.address]).await;
@@ -530,8 +530,8 @@
 
 #[test]
 fn a_stopping_process_serves_until_the_balancer_knows_and_cuts_nothing() {
-    // Callers on kept connections see their answers, with the advice to open the next connection
-    // elsewhere; later ones are told "not run" at once instead of being cut at the end.
+    // While it stops, the process answers with `Connection: close` until the load balancer has removed it.
+    // Later requests are refused as not run at once, so that none is cut off when the process ends.
     run(async {
         let whole = vec![say(&sound("hello"))];
         let endpoint =
@@ -541,7 +541,7 @@
         let text = request("POST", "/once/a", "r1", "", "x");
         kept.write_all(text.as_bytes()).await.expect("written");
         assert!(!read_answer(&mut kept).await.has("connection: close"));
-        // One request that takes long keeps the process from ending at once.
+        // A long request keeps the process running during the test.
         let mut long = TcpStream::connect(address).await.expect("it listens");
         let patient = text.replace("Deadline-Ms: 2000", "Deadline-Ms: 6000");
         long.write_all(patient.as_bytes()).await.expect("written");
@@ -549,7 +549,7 @@
             tokio::task::yield_now().await;
         }
         let node = process.node.clone();
-        // Told when the balancer has had its time; asked for before the stop begins.
+        // Notified when the load balancer has had time to remove the process; registered before the stop begins.
         let balancer_knows = node.close_idle.notified();
 
         let stopping = actix_rt::spawn(process.stop());
@@ -569,8 +569,8 @@
     });
 }
 
-/// Dozens of endpoints start and leave within seconds. Each change ends a watch, and a follower that
-/// asks again at once makes a call for each, and each is paid for.
+/// Guards against one billed store call per change: when dozens of endpoints start and stop within seconds,
+/// each change ends a watch, and a process that watches again at once makes a call for each.
 #[test]
 fn a_watcher_batches_changes_of_the_endpoint_list() {
     run(async {
@@ -584,7 +584,7 @@
             tokio::task::yield_now().await;
         }
 
-        // Three pauses of 250 ms lie between four watches, however fast the machine is.
+        // Four watches are separated by three pauses of 250 ms, on a machine of any speed.
         assert!(began.elapsed() >= Duration::from_millis(700), "{:?}", began.elapsed());
     });
 }
--- a/tests/all/trace.rs
+++ b/tests/all/trace.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause, by log lines alone.
+//! Tracing a request by its id through log lines, and the rate limits of log events.
 
 use oleandertack::ctl::trace::{join_lines, lines_of};
 use oleandertack::front::events::{EventBudget, EventKind};
