--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -6,7 +6,7 @@
 use crate::answer::{AnswerStage, AnswerWriter};
 use crate::events::event;
 use crate::ingress::CallerRequest;
-use crate::limits::{self, Payment};
+use crate::limits::{self, QuotaCharge};
 use crate::node::FrontNode;
 use crate::releases::TriedPayment;
 use crate::suspects;
@@ -69,7 +69,7 @@
     /// The parsed request head.
     pub call: CallHead,
     /// Tokens that each attempt takes from the account's rate limit; none if it has no limit.
-    pub(crate) payment: Option<Payment>,
+    pub(crate) charge: Option<QuotaCharge>,
     /// Fingerprint of the content, by which a repeated request is recognized.
     pub fingerprint: RequestPrint,
     /// Charge for an attempt on the version that is being rolled out; none if it goes to a version in service.
@@ -162,9 +162,9 @@
     if let Some(left) = suspects::held_for(node, &fingerprint) {
         return answer.refuse(ResultCode::RequestHeld, Some(left)).await;
     }
-    let payment = account.and_then(|account| Payment::of(node, account, &call));
-    if let Some(payment) = &payment
-        && let Err(retry) = limits::pay(node, payment, call.id.as_str()).await
+    let charge = account.and_then(|account| QuotaCharge::of(node, account, &call));
+    if let Some(charge) = &charge
+        && let Err(retry) = limits::charge_quota(node, charge, call.id.as_str()).await
     {
         return answer.refuse(ResultCode::LimitReached, Some(retry)).await;
     }
@@ -177,7 +177,7 @@
         deadline: arrived + patience.duration(),
         last_event: call.last_event,
         call,
-        payment,
+        charge,
         rollout_payment: None,
         fingerprint,
         rank: account.and_then(|account| account.rank).unwrap_or(route.rank),
@@ -278,10 +278,10 @@
 
     /// Charges the account for a retry if the failed attempt may have run: the tokens of each attempt that
     /// runs count against the limit.
-    async fn pay_again(&self, end: AttemptEnd) -> bool {
-        match &self.payment {
-            Some(payment) if end.may_have_run() => {
-                limits::pay_again(self.node, payment, self.call.id.as_str()).await
+    async fn charge_retry(&self, end: AttemptEnd) -> bool {
+        match &self.charge {
+            Some(charge) if end.may_have_run() => {
+                limits::charge_retry(self.node, charge, self.call.id.as_str()).await
             }
             _ => true,
         }
@@ -291,8 +291,8 @@
     fn refund_unused(&self) {
         let is_answered = self.first_chunk_at.is_some();
         let has_run = is_answered || self.record.may_have_run() || self.current.is_some();
-        if let Some(payment) = self.payment.as_ref().filter(|_| !has_run) {
-            limits::give_back(self.node, payment);
+        if let Some(charge) = self.charge.as_ref().filter(|_| !has_run) {
+            limits::refund_quota(self.node, charge);
         }
     }
 
@@ -307,7 +307,7 @@
             && suspects::held_for(self.node, &self.fingerprint).is_none()
             && self.choose().is_some()
             && (self.record.sent() == 0 || self.node.spend_retry(&self.service))
-            && self.pay_again(end).await;
+            && self.charge_retry(end).await;
         self.node.meter.count_attempt(end.name());
         event!(self.node, AttemptEnded;
             "request" => self.call.id.as_str(),
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -6,9 +6,10 @@
 mod pay;
 
 pub(crate) use diary::dump_limits;
-pub use diary::{SpendDiary, tell_limits};
+pub use diary::{SpendTracker, log_limits};
 pub(crate) use keeper::{
-    begin_ledger, begin_ledger_by, end_ledger, resume_ledger, take_handed, tell_left_out,
+    accept_handover, begin_ledger, begin_ledger_from, end_ledger, log_rejected_claims,
+    resume_ledger,
 };
-pub(crate) use pay::pay_tried;
-pub use pay::{Payment, give_back, pay, pay_again};
+pub(crate) use pay::charge_rollout;
+pub use pay::{QuotaCharge, charge_quota, charge_retry, refund_quota};
--- a/crates/front/src/limits/diary.rs
+++ b/crates/front/src/limits/diary.rs
@@ -16,71 +16,77 @@
 use std::rc::Rc;
 
 /// Between two lines of an account.
-const TELL_PERIOD: TimeSpan = TimeSpan(1000);
+const LOG_PERIOD: TimeSpan = TimeSpan(1000);
 
 /// What the last lines told, and what was sent again since this process began.
 #[derive(Debug, Default)]
-pub struct SpendDiary {
-    told: HashMap<AccountName, ToldSpend>,
-    sent_again: HashMap<AccountName, u64>,
+pub struct SpendTracker {
+    logged: HashMap<AccountName, LoggedSpend>,
+    retried: HashMap<AccountName, u64>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct ToldSpend {
+struct LoggedSpend {
     spent: u64,
-    own: u64,
-    sent_again: u64,
+    from_share: u64,
+    retried: u64,
 }
 
-impl SpendDiary {
+impl SpendTracker {
     /// Notes tokens of an attempt after the first of its request.
-    pub fn note_sent_again(&mut self, account: &AccountName, tokens: u64) {
-        *self.sent_again.entry(account.clone()).or_default() += tokens;
+    pub fn note_retry_tokens(&mut self, account: &AccountName, tokens: u64) {
+        *self.retried.entry(account.clone()).or_default() += tokens;
     }
 
     /// What is new of an account since its last line, of what was let in by allotments and by this process's own
     /// part; none if nothing is.
-    fn news_of(&mut self, account: &AccountName, (spent, own): (u64, u64)) -> Option<ToldSpend> {
-        let sent_again = self.sent_again.get(account).copied().unwrap_or_default();
-        let now = ToldSpend { spent, own, sent_again };
-        let before = self.told.insert(account.clone(), now).unwrap_or_default();
-        let news = ToldSpend {
+    fn unlogged_spend(
+        &mut self,
+        account: &AccountName,
+        (spent, from_share): (u64, u64),
+    ) -> Option<LoggedSpend> {
+        let retried = self.retried.get(account).copied().unwrap_or_default();
+        let now = LoggedSpend { spent, from_share, retried };
+        let before = self.logged.insert(account.clone(), now).unwrap_or_default();
+        let change = LoggedSpend {
             spent: now.spent.saturating_sub(before.spent),
-            own: now.own - before.own,
-            sent_again: now.sent_again - before.sent_again,
+            from_share: now.from_share - before.from_share,
+            retried: now.retried - before.retried,
         };
-        (news != ToldSpend::default()).then_some(news)
+        (change != LoggedSpend::default()).then_some(change)
     }
 }
 
 /// Tells until the task is ended.
-pub async fn tell_limits(node: Rc<FrontNode>) {
+pub async fn log_limits(node: Rc<FrontNode>) {
     loop {
-        actix_rt::time::sleep(TELL_PERIOD.duration()).await;
-        tell_spent(&node);
-        tell_windows(&node);
+        actix_rt::time::sleep(LOG_PERIOD.duration()).await;
+        log_spent(&node);
+        log_windows(&node);
     }
 }
 
-fn tell_spent(node: &FrontNode) {
+fn log_spent(node: &FrontNode) {
     let now = node.clock.lease_now();
     let Some(rules) = node.current_rules() else { return };
     let limits = node.limits.borrow();
-    let mut diary = node.spend_diary.borrow_mut();
+    let mut tracker = node.spend_diary.borrow_mut();
     for (account, stand) in limits.stands(now) {
         let Some(limit) = limit_by_name(node, &rules, account) else { continue };
-        let Some(news) = diary.news_of(account, (stand.spent, stand.own_spent)) else { continue };
+        let Some(change) = tracker.unlogged_spend(account, (stand.spent, stand.own_spent)) else {
+            continue;
+        };
         let presses = stand.window as f64 * 2.0 > limit.capacity();
-        if !presses && news.own == 0 {
+        if !presses && change.from_share == 0 {
             continue;
         }
         event!(node, AccountSpent;
-            "account" => account.as_str(), "tokens" => news.spent, "sent_again" => news.sent_again,
-            "own" => news.own, "held" => stand.held, "told_ms" => stand.told_age.map(|age| age.0));
+            "account" => account.as_str(), "tokens" => change.spent, "sent_again" => change.retried,
+            "own" => change.from_share, "held" => stand.held, "told_ms" => stand.told_age.map(|age| age.0));
     }
 }
 
-fn tell_windows(node: &FrontNode) {
+fn log_windows(node: &FrontNode) {
     let mesh = node.mesh.borrow();
     let Some(collector) = &mesh.collector else { return };
     for (account, stand) in collector.windows().filter(|(_, stand)| stand.presses()) {
--- a/crates/front/src/limits/keeper.rs
+++ b/crates/front/src/limits/keeper.rs
@@ -16,14 +16,14 @@
     let windows = node.limits.borrow().known_windows(node.clock.lease_now());
     if windows.iter().any(|(_, known)| known.age <= TOLD_LASTS) {
         let past = LedgerPast::Told { windows, lasts: TOLD_LASTS };
-        begin_ledger_by(node, mesh, past, "told");
+        begin_ledger_from(node, mesh, past, "told");
     } else {
         node.ledger_waits.notify_one();
     }
 }
 
 /// Begins the ledger by what is known of the time before.
-pub(crate) fn begin_ledger_by(
+pub(crate) fn begin_ledger_from(
     node: &FrontNode,
     mesh: &mut MeshState,
     past: LedgerPast,
@@ -46,7 +46,7 @@
 /// A process that stood still for seconds collects for itself alone when it wakes, until the others come back to it. By its own
 /// ledger, which knows nothing of what they let in meanwhile, they would count here after a whole window only. What it
 /// let in itself by that ledger counts as by one that is not known.
-pub(crate) fn take_handed(node: &FrontNode, mesh: &mut MeshState, handed: &HandedLedger) {
+pub(crate) fn accept_handover(node: &FrontNode, mesh: &mut MeshState, handed: &HandedLedger) {
     let now = node.clock.now();
     let ledger = mesh.collector.as_ref().and_then(MeshCollector::ledger);
     let stays =
@@ -55,7 +55,7 @@
         return;
     }
     let windows = handed.windows.iter().map(|told| (told.account.clone(), told.window.clone()));
-    begin_ledger_by(node, mesh, LedgerPast::Handed(windows.collect()), "handed");
+    begin_ledger_from(node, mesh, LedgerPast::Handed(windows.collect()), "handed");
 }
 
 /// Ends the ledger of a process that goes over to another collector; gives what that has to know, until it is known
@@ -87,7 +87,7 @@
 }
 
 /// Logs claims that could not be true.
-pub(crate) fn tell_left_out(node: &FrontNode, collector: &mut MeshCollector) {
+pub(crate) fn log_rejected_claims(node: &FrontNode, collector: &mut MeshCollector) {
     let count = collector.take_claims_left_out();
     if count > 0 {
         event!(node, ClaimsLeftOut; "count" => count, "code" => ResultCode::PeerBadClaim.number());
--- a/crates/front/src/limits/pay.rs
+++ b/crates/front/src/limits/pay.rs
@@ -12,42 +12,42 @@
 
 /// The longest that a request waits for room: a word with the ledger takes a few milliseconds, and the shortest
 /// objective of requests that count by their tokens is some hundred.
-const ASK_LIMIT: TimeSpan = TimeSpan(120);
+const ASK_TIMEOUT: TimeSpan = TimeSpan(120);
 /// After the ledger did not answer it is left alone for so long; by then a report has found it or another.
-const ASK_PAUSE: TimeSpan = TimeSpan(250);
+const ASK_BACKOFF: TimeSpan = TimeSpan(250);
 /// When a caller may come back that no ledger could answer: another has begun by then.
-const LEDGER_RETURN: TimeSpan = TimeSpan(500);
+const UNREACHED_RETRY: TimeSpan = TimeSpan(500);
 
 /// What an attempt takes of its account's limit.
 #[derive(Clone, Debug)]
-pub struct Payment {
+pub struct QuotaCharge {
     account: AccountName,
     limit: PoolLimit,
     tokens: u64,
 }
 
-impl Payment {
+impl QuotaCharge {
     /// What a request takes; none if its account has no limit.
     pub fn of(node: &FrontNode, account: &AccountRule, call: &CallHead) -> Option<Self> {
         let limit = pool_limit(node, account)?;
         let tokens = call.tokens.map_or(account.plain_tokens, TokenCount::total);
-        Some(Payment { account: account.name.clone(), limit, tokens })
+        Some(QuotaCharge { account: account.name.clone(), limit, tokens })
     }
 }
 
 /// Why there is no room for a request.
-enum NoRoom {
+enum ChargeError {
     /// The account's window is full, for so long.
     Full(TimeSpan),
     /// No ledger answers.
     Unreached,
 }
 
-impl NoRoom {
+impl ChargeError {
     fn name(&self) -> &'static str {
         match self {
-            NoRoom::Full(_) => "full",
-            NoRoom::Unreached => "unreached",
+            ChargeError::Full(_) => "full",
+            ChargeError::Unreached => "unreached",
         }
     }
 }
@@ -56,102 +56,106 @@
 ///
 /// # Errors
 /// When the caller may come back, if there is no room.
-pub async fn pay(node: &FrontNode, payment: &Payment, request: &str) -> Result<(), TimeSpan> {
-    if spend(node, payment) {
+pub async fn charge_quota(
+    node: &FrontNode,
+    charge: &QuotaCharge,
+    request: &str,
+) -> Result<(), TimeSpan> {
+    if spend(node, charge) {
         return Ok(());
     }
-    let lack = match ask_ledger(node, payment).await {
+    let error = match ask_ledger(node, charge).await {
         Ok(()) => return Ok(()),
-        Err(NoRoom::Unreached) if spend_own(node, payment) => return Ok(()),
-        Err(lack) => lack,
+        Err(ChargeError::Unreached) if spend_share(node, charge) => return Ok(()),
+        Err(error) => error,
     };
-    let left = match lack {
-        NoRoom::Full(left) => left,
-        NoRoom::Unreached => LEDGER_RETURN,
+    let left = match error {
+        ChargeError::Full(left) => left,
+        ChargeError::Unreached => UNREACHED_RETRY,
     };
-    let held = node.limits.borrow().held(&payment.account, node.clock.lease_now());
+    let held = node.limits.borrow().held(&charge.account, node.clock.lease_now());
     event!(node, RequestOverLimit;
-        "request" => request, "account" => payment.account.as_str(), "tokens" => payment.tokens,
-        "retry_ms" => left.0, "by" => lack.name(), "held" => held,
-        "limit" => format!("{:?}", payment.limit));
+        "request" => request, "account" => charge.account.as_str(), "tokens" => charge.tokens,
+        "retry_ms" => left.0, "by" => error.name(), "held" => held,
+        "limit" => format!("{:?}", charge.limit));
     Err(left)
 }
 
 /// Pays for a further attempt of a request.
-pub async fn pay_again(node: &FrontNode, payment: &Payment, request: &str) -> bool {
-    let is_paid = pay(node, payment, request).await.is_ok();
+pub async fn charge_retry(node: &FrontNode, charge: &QuotaCharge, request: &str) -> bool {
+    let is_paid = charge_quota(node, charge, request).await.is_ok();
     if is_paid {
-        node.spend_diary.borrow_mut().note_sent_again(&payment.account, payment.tokens);
+        node.spend_diary.borrow_mut().note_retry_tokens(&charge.account, charge.tokens);
     }
     is_paid
 }
 
 /// Pays for a request that goes to a version under the order of a roll-out; asks the ledger only if it `may_ask`.
-pub(crate) async fn pay_tried(node: &FrontNode, account: &AccountName, may_ask: bool) -> bool {
+pub(crate) async fn charge_rollout(node: &FrontNode, account: &AccountName, may_ask: bool) -> bool {
     let limit = oleander_release::exposure_limit(0.0);
-    let payment = Payment { account: account.clone(), limit, tokens: 1 };
-    spend(node, &payment) || (may_ask && ask_ledger(node, &payment).await.is_ok())
+    let charge = QuotaCharge { account: account.clone(), limit, tokens: 1 };
+    spend(node, &charge) || (may_ask && ask_ledger(node, &charge).await.is_ok())
 }
 
 /// Gives back what was paid for an attempt that certainly did not run.
-pub fn give_back(node: &FrontNode, payment: &Payment) {
-    node.limits.borrow_mut().give_back(&payment.account, payment.tokens);
+pub fn refund_quota(node: &FrontNode, charge: &QuotaCharge) {
+    node.limits.borrow_mut().give_back(&charge.account, charge.tokens);
 }
 
-fn spend(node: &FrontNode, payment: &Payment) -> bool {
+fn spend(node: &FrontNode, charge: &QuotaCharge) -> bool {
     let now = node.clock.lease_now();
-    node.limits.borrow_mut().spend(&payment.account, payment.tokens, now)
+    node.limits.borrow_mut().spend(&charge.account, charge.tokens, now)
 }
 
-fn spend_own(node: &FrontNode, payment: &Payment) -> bool {
+fn spend_share(node: &FrontNode, charge: &QuotaCharge) -> bool {
     let at = (node.process_count(), node.clock.lease_now());
-    let Payment { account, limit, tokens } = payment;
+    let QuotaCharge { account, limit, tokens } = charge;
     node.limits.borrow_mut().spend_own(account, limit, *tokens, at)
 }
 
 /// Asks the ledger for room for one request.
-async fn ask_ledger(node: &FrontNode, payment: &Payment) -> Result<(), NoRoom> {
-    if let Some(left) = full_for(node, payment) {
-        return Err(NoRoom::Full(left));
+async fn ask_ledger(node: &FrontNode, charge: &QuotaCharge) -> Result<(), ChargeError> {
+    if let Some(left) = full_for(node, charge) {
+        return Err(ChargeError::Full(left));
     }
     if node.clock.now() < node.ask_after.get() {
-        return Err(NoRoom::Unreached);
+        return Err(ChargeError::Unreached);
     }
     let began = Instant::now();
-    let asking = actix_rt::time::timeout(ASK_LIMIT.duration(), ask_in_turn(node, payment));
-    let outcome = asking.await.unwrap_or(Err(NoRoom::Unreached));
-    let name = outcome.as_ref().err().map_or("room", NoRoom::name);
+    let asking = actix_rt::time::timeout(ASK_TIMEOUT.duration(), ask_serialized(node, charge));
+    let outcome = asking.await.unwrap_or(Err(ChargeError::Unreached));
+    let name = outcome.as_ref().err().map_or("room", ChargeError::name);
     node.meter.record_ledger_wait(name, began.elapsed().as_secs_f64() * 1000.0);
     outcome
 }
 
-fn full_for(node: &FrontNode, payment: &Payment) -> Option<TimeSpan> {
-    node.limits.borrow().full_for(&payment.account, node.clock.lease_now())
+fn full_for(node: &FrontNode, charge: &QuotaCharge) -> Option<TimeSpan> {
+    node.limits.borrow().full_for(&charge.account, node.clock.lease_now())
 }
 
 /// Asks once no other claim is under way. What that one brought may be enough, or tell that there is no room.
-async fn ask_in_turn(node: &FrontNode, payment: &Payment) -> Result<(), NoRoom> {
+async fn ask_serialized(node: &FrontNode, charge: &QuotaCharge) -> Result<(), ChargeError> {
     let _exchange = node.limit_exchange.lock().await;
-    if spend(node, payment) {
+    if spend(node, charge) {
         return Ok(());
     }
-    if let Some(left) = full_for(node, payment) {
-        return Err(NoRoom::Full(left));
+    if let Some(left) = full_for(node, charge) {
+        return Err(ChargeError::Full(left));
     }
     let claimed_at = node.clock.lease_now();
-    let claim = node.limits.borrow_mut().claim(&payment.account, payment.tokens, claimed_at);
+    let claim = node.limits.borrow_mut().claim(&charge.account, charge.tokens, claimed_at);
     let Some(allotment) =
-        send_claim(node, AccountClaim { account: payment.account.clone(), claim }).await
+        send_claim(node, AccountClaim { account: charge.account.clone(), claim }).await
     else {
-        node.ask_after.set(node.clock.now() + ASK_PAUSE);
-        return Err(NoRoom::Unreached);
+        node.ask_after.set(node.clock.now() + ASK_BACKOFF);
+        return Err(ChargeError::Unreached);
     };
     let times = (claimed_at, node.clock.lease_now());
-    node.limits.borrow_mut().take(&payment.account, allotment, times);
-    if spend(node, payment) {
+    node.limits.borrow_mut().take(&charge.account, allotment, times);
+    if spend(node, charge) {
         return Ok(());
     }
-    Err(full_for(node, payment).map_or(NoRoom::Unreached, NoRoom::Full))
+    Err(full_for(node, charge).map_or(ChargeError::Unreached, ChargeError::Full))
 }
 
 async fn send_claim(node: &FrontNode, claim: AccountClaim) -> Option<PoolAllotment> {
@@ -165,7 +169,7 @@
         (address, ask)
     };
     let Some(address) = collector else { return answer_ask(node, &ask) };
-    let call = CallPeer { address, body: MeshBody::Ask(ask), limit: ASK_LIMIT };
+    let call = CallPeer { address, body: MeshBody::Ask(ask), limit: ASK_TIMEOUT };
     match node.peers.get()?.send(call).await {
         Ok(Ok(MeshBody::Allotted(allotment))) => allotment.map(|allotment| *allotment),
         Ok(Ok(_)) => None,
--- a/crates/front/src/mesh/collect.rs
+++ b/crates/front/src/mesh/collect.rs
@@ -115,11 +115,11 @@
         limits::resume_ledger(node, &mut mesh);
     }
     if let Some(handed) = &report.handed {
-        limits::take_handed(node, &mut mesh, handed);
+        limits::accept_handover(node, &mut mesh, handed);
     }
     if let Some(collector) = &mut mesh.collector {
         judge_endpoints(node, collector, &report);
-        limits::tell_left_out(node, collector);
+        limits::log_rejected_claims(node, collector);
     }
     let roster = node.roster.borrow();
     let facts = CollectorFacts {
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -3,7 +3,7 @@
 use crate::events::{EventBudget, event};
 use crate::evidence::EvidenceOutbox;
 use crate::feed::FeedState;
-use crate::limits::SpendDiary;
+use crate::limits::SpendTracker;
 use crate::mesh::state::MeshState;
 use crate::meter::FrontMeter;
 use crate::port::PlatformDialect;
@@ -92,7 +92,7 @@
     /// The links to the other processes.
     pub peers: OnceCell<Addr<PeerHub<MeshBody>>>,
     /// What the log was told of them.
-    pub spend_diary: RefCell<SpendDiary>,
+    pub spend_diary: RefCell<SpendTracker>,
     /// Requests that began to run, by window and account.
     pub usage: RefCell<UsageBook>,
     /// What was asked of the services since this process began.
--- a/crates/front/src/releases.rs
+++ b/crates/front/src/releases.rs
@@ -121,7 +121,7 @@
     };
     // While a version is tried a request that finds nothing handed out goes where it always went. One that would outlast the
     // moment at which the former version is left is worth a word with the ledger.
-    let is_paid = limits::pay_tried(node, &account, is_moving).await;
+    let is_paid = limits::charge_rollout(node, &account, is_moving).await;
     is_paid.then_some(TriedPayment(account))
 }
 
--- a/crates/front/src/window_store.rs
+++ b/crates/front/src/window_store.rs
@@ -7,7 +7,7 @@
 use crate::duties::encode;
 use crate::events::event;
 use crate::kept::StoredRecord;
-use crate::limits::begin_ledger_by;
+use crate::limits::begin_ledger_from;
 use crate::mesh::state::MeshState;
 use crate::node::FrontNode;
 use bytes::Bytes;
@@ -77,7 +77,7 @@
         let mut mesh = node.mesh.borrow_mut();
         if waits_for_ledger(node, &mesh) {
             let (past, by) = past_of(list.as_ref(), node.clock_true(&mesh));
-            begin_ledger_by(node, &mut mesh, past, by);
+            begin_ledger_from(node, &mut mesh, past, by);
         }
         WindowMark(list.map_or(0, |list| list.at.0))
     }
@@ -108,7 +108,7 @@
         let mut mesh = node.mesh.borrow_mut();
         if waits_for_ledger(node, &mesh) && self.unread >= MOST_UNREAD {
             let past = LedgerPast::Told { windows: Vec::new(), lasts: STORED_LASTS };
-            begin_ledger_by(node, &mut mesh, past, "unread");
+            begin_ledger_from(node, &mut mesh, past, "unread");
         }
     }
 }
--- a/tests/all/paying.rs
+++ b/tests/all/paying.rs
@@ -10,12 +10,12 @@
 use tokio::time::sleep;
 
 /// Tokens that a request without a count stands for.
-const TOKENS: u64 = 200;
+const TOKENS_PER_REQUEST: u64 = 200;
 /// Between two looks whether the process has a ledger.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
-const GOOD: &str = "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {id}\r\n\
+const POLL_PERIOD: Duration = Duration::from_millis(5);
+const OK_ANSWER: &str = "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {id}\r\n\
     X-Oleandertack-Response-Seal: seal\r\nContent-Length: 2\r\n\r\nok";
-const NOT_RUN: &str = "HTTP/1.1 503 Full\r\nX-Oleandertack-Request-Id: {id}\r\n\
+const NOT_RUN_ANSWER: &str = "HTTP/1.1 503 Full\r\nX-Oleandertack-Request-Id: {id}\r\n\
     X-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
 /// A process before endpoints, with an account of 100 tokens a second and a burst of 1,200: 2,000 a window.
@@ -28,7 +28,7 @@
     let ports = FrontPorts { store: Box::new(store), cloud: None, clock: NodeClock::default() };
     let (process, address) = front_with(ports, bounds).await;
     while !process.node.mesh.borrow().has_ledger() {
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_PERIOD).await;
     }
     (process, address)
 }
@@ -47,7 +47,7 @@
 #[test]
 fn a_request_that_was_answered_is_paid_for() {
     run(async {
-        let good = endpoint(GOOD).await;
+        let good = endpoint(OK_ANSWER).await;
         let (process, address) = limited_front(&[&good]).await;
 
         for number in 0..3 {
@@ -55,7 +55,7 @@
             assert_eq!(ask(address, &text).await.status(), "200");
         }
 
-        assert_eq!(spent(&process), 3 * TOKENS);
+        assert_eq!(spent(&process), 3 * TOKENS_PER_REQUEST);
     });
 }
 
@@ -65,13 +65,13 @@
 fn a_further_attempt_is_paid_for() {
     run(async {
         let near = scripted(vec![vec![Act::Reset]]).await;
-        let far = endpoint(GOOD).await;
+        let far = endpoint(OK_ANSWER).await;
         let (process, address) = limited_front(&[&near, &far]).await;
 
-        let came = ask(address, &request("GET", "/any/a", "r", "", "")).await;
+        let answer = ask(address, &request("GET", "/any/a", "r", "", "")).await;
 
-        assert_eq!(came.status(), "200");
-        assert_eq!(spent(&process), 2 * TOKENS);
+        assert_eq!(answer.status(), "200");
+        assert_eq!(spent(&process), 2 * TOKENS_PER_REQUEST);
     });
 }
 
@@ -79,12 +79,12 @@
 #[test]
 fn a_request_that_did_not_run_is_given_back() {
     run(async {
-        let full = endpoint(NOT_RUN).await;
+        let full = endpoint(NOT_RUN_ANSWER).await;
         let (process, address) = limited_front(&[&full]).await;
 
-        let came = ask(address, &request("POST", "/once/a", "r", "", "x")).await;
+        let answer = ask(address, &request("POST", "/once/a", "r", "", "x")).await;
 
-        assert_eq!(came.status(), "503");
+        assert_eq!(answer.status(), "503");
         assert_eq!(spent(&process), 0);
     });
 }
@@ -93,14 +93,14 @@
 #[test]
 fn a_request_beyond_the_limit_is_refused_with_the_time_to_come_back() {
     run(async {
-        let good = endpoint(GOOD).await;
+        let good = endpoint(OK_ANSWER).await;
         let (_process, address) = limited_front(&[&good]).await;
 
         let mut statuses = Vec::new();
         for number in 0..12 {
-            let came =
+            let answer =
                 ask(address, &request("POST", "/once/a", &format!("r{number}"), "", "x")).await;
-            statuses.push((came.status().to_owned(), came.has("retry-after")));
+            statuses.push((answer.status().to_owned(), answer.has("retry-after")));
         }
 
         let refused: Vec<_> = statuses.iter().filter(|(status, _)| status == "429").collect();
