--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -1,5 +1,7 @@
-//! Limits of client accounts at one process: what it pays for attempts, the ledger while it collects, and what the log
-//! tells of both.
+//! Rate limits of client accounts: charging requests at one process, running the ledger at the collector, and logging
+//! both.
+//!
+//! A ledger at the collector allots tokens of each account's window to the processes, which charge requests to them.
 
 mod diary;
 mod keeper;
--- a/crates/front/src/limits/diary.rs
+++ b/crates/front/src/limits/diary.rs
@@ -1,8 +1,7 @@
-//! Tells, once a second, what this process let in of accounts that come near their limits, and what the ledger has
-//! counted of them.
+//! Logs once a second what this process admitted for accounts near their limits, and what the ledger counted for them.
 //!
-//! Operators judge an account over all processes. From a window that was passed, these lines lead to the processes that
-//! let it in and to what each of them went by.
+//! A limit holds over all processes together. When a window exceeded its limit, these lines show which processes
+//! admitted the tokens, and by which allotments.
 
 use crate::events::event;
 use crate::mesh::limit_by_name;
@@ -15,10 +14,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Between two lines of an account.
+/// Interval between two log lines of an account.
 const LOG_PERIOD: TimeSpan = TimeSpan(1000);
 
-/// What the last lines told, and what was sent again since this process began.
+/// Totals of each account as last logged, and its tokens for retries since this process started.
 #[derive(Debug, Default)]
 pub struct SpendTracker {
     logged: HashMap<AccountName, LoggedSpend>,
@@ -33,13 +32,13 @@
 }
 
 impl SpendTracker {
-    /// Notes tokens of an attempt after the first of its request.
+    /// Counts the tokens of a retry.
     pub fn note_retry_tokens(&mut self, account: &AccountName, tokens: u64) {
         *self.retried.entry(account.clone()).or_default() += tokens;
     }
 
-    /// What is new of an account since its last line, of what was let in by allotments and by this process's own
-    /// part; none if nothing is.
+    /// Change of an account's totals since they were last logged, given the tokens admitted from allotments and from
+    /// this process's own share; none if there is no change.
     fn unlogged_spend(
         &mut self,
         account: &AccountName,
@@ -57,7 +56,7 @@
     }
 }
 
-/// Tells until the task is ended.
+/// Writes the log lines until the task is cancelled.
 pub async fn log_limits(node: Rc<FrontNode>) {
     loop {
         actix_rt::time::sleep(LOG_PERIOD.duration()).await;
@@ -96,7 +95,7 @@
     }
 }
 
-/// What this process holds of accounts and, if it has the ledger, what it counted, for the state dump.
+/// Allotments of this process and, if it runs the ledger, the ledger's counts, for the state dump.
 pub(crate) fn dump_limits(node: &FrontNode, mesh: &MeshState) -> Value {
     let now = node.clock.lease_now();
     let limits = node.limits.borrow();
--- a/crates/front/src/limits/keeper.rs
+++ b/crates/front/src/limits/keeper.rs
@@ -1,4 +1,4 @@
-//! Begins and ends the ledger of a process that collects.
+//! Starts, hands over and ends the ledger of account limits at the collector.
 
 use crate::events::event;
 use crate::mesh::state::MeshState;
@@ -7,8 +7,8 @@
 use oleander_limit::{LedgerPast, PoolLedger, TOLD_LASTS};
 use oleander_mesh::{HandedLedger, HandedWindow, MeshCollector};
 
-/// Begins the ledger of a process that begins to collect, if it was told lately how the windows stand; if not, the store
-/// is asked first.
+/// Starts the ledger of a process that has become the collector, if it received the state of the windows recently.
+/// Otherwise the state is read from the store first.
 pub(crate) fn begin_ledger(node: &FrontNode, mesh: &mut MeshState) {
     if mesh.ended_ledger.is_some() && mesh.view.collects() {
         return;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Begins the ledger by what is known of the time before.
+/// Starts the ledger with the windows of `past`; `by` names their source in the log.
 pub(crate) fn begin_ledger_from(
     node: &FrontNode,
     mesh: &mut MeshState,
@@ -34,18 +34,18 @@
     let windows = past.windows();
     let age = windows.iter().map(|(_, known)| known.age.0).max();
     event!(node, LedgerBegan; "by" => by, "windows" => windows.len(), "age_ms" => age);
-    // Each ledger has a name of its own, also a second one of the same process. One that handed out nothing and is begun
-    // anew is the same: processes that it answered go by it already.
+    // Each ledger has its own id, also a second one of the same process. A ledger that has allotted nothing keeps its id
+    // when it is started again, because processes that it answered already refer to it.
     let same = collector.ledger().filter(|ledger| ledger.is_untouched());
     let source = same.map_or_else(|| node.random(), PoolLedger::source);
     collector.begin_ledger(PoolLedger::begin(source, past, now));
 }
 
-/// Takes the ledger that another process kept until now, unless more processes count here already.
+/// Takes over the ledger of another process, unless at least as many processes report to the ledger here already.
 ///
-/// A process that stood still for seconds collects for itself alone when it wakes, until the others come back to it. By its own
-/// ledger, which knows nothing of what they let in meanwhile, they would count here after a whole window only. What it
-/// let in itself by that ledger counts as by one that is not known.
+/// A process that was suspended for seconds is the collector for itself alone when it wakes, until the others report to it
+/// again. Its own ledger does not know what they admitted meanwhile, so they would be counted correctly only after a
+/// whole window. What it admitted itself under that ledger is counted as admitted under an unknown one.
 pub(crate) fn accept_handover(node: &FrontNode, mesh: &mut MeshState, handed: &HandedLedger) {
     let now = node.clock.now();
     let ledger = mesh.collector.as_ref().and_then(MeshCollector::ledger);
@@ -58,8 +58,8 @@
     begin_ledger_from(node, mesh, LedgerPast::Handed(windows.collect()), "handed");
 }
 
-/// Ends the ledger of a process that goes over to another collector; gives what that has to know, until it is known
-/// that one has it or may have it.
+/// Ends the ledger of a process that is no longer the collector, and returns the state to hand over. The state is returned
+/// until another collector has it or may have it.
 pub(crate) fn end_ledger(node: &FrontNode) -> Option<HandedLedger> {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
@@ -73,10 +73,10 @@
     Some(HandedLedger { members: ledger.member_count(now), windows })
 }
 
-/// Goes on with a ledger that was ended here and that nobody took over.
+/// Resumes a ledger that was ended here and that no other process took over.
 ///
-/// A process that goes over to another collector may be sent back by it. Beginning anew by what was told before, all
-/// accounts' windows were taken for nearly full each time.
+/// A process that reports to another collector may be redirected back to itself. A ledger started from the state received
+/// earlier would take the windows of all accounts for nearly full each time.
 pub(crate) fn resume_ledger(node: &FrontNode, mesh: &mut MeshState) {
     if let Some(ledger) = mesh.ended_ledger.take()
         && let Some(collector) = mesh.collector.as_mut().filter(|it| it.ledger().is_none())
@@ -86,7 +86,7 @@
     }
 }
 
-/// Logs claims that could not be true.
+/// Logs claims that were rejected because they cannot be true.
 pub(crate) fn log_rejected_claims(node: &FrontNode, collector: &mut MeshCollector) {
     let count = collector.take_claims_left_out();
     if count > 0 {
--- a/crates/front/src/limits/pay.rs
+++ b/crates/front/src/limits/pay.rs
@@ -1,4 +1,4 @@
-//! Pays for attempts out of what the ledger handed to this process, and asks it when that is not enough.
+//! Charges requests to this process's allotments, and asks the ledger for more when these are used up.
 
 use crate::events::event;
 use crate::mesh::{answer_ask, pool_limit};
@@ -10,15 +10,15 @@
 use oleander_wire::CallPeer;
 use tokio::time::Instant;
 
-/// The longest that a request waits for room: a word with the ledger takes a few milliseconds, and the shortest
-/// objective of requests that count by their tokens is some hundred.
+/// Longest time a request waits for an allotment. An exchange with the ledger takes a few milliseconds, and the shortest
+/// latency objective of requests that are charged by their tokens is some hundred.
 const ASK_TIMEOUT: TimeSpan = TimeSpan(120);
-/// After the ledger did not answer it is left alone for so long; by then a report has found it or another.
+/// Backoff after the ledger did not answer; by then a report has reached it or another ledger.
 const ASK_BACKOFF: TimeSpan = TimeSpan(250);
-/// When a caller may come back that no ledger could answer: another has begun by then.
+/// Retry-After time if no ledger could be reached: another one has started by then.
 const UNREACHED_RETRY: TimeSpan = TimeSpan(500);
 
-/// What an attempt takes of its account's limit.
+/// Tokens that each attempt of a request takes from its account's limit.
 #[derive(Clone, Debug)]
 pub struct QuotaCharge {
     account: AccountName,
@@ -27,7 +27,7 @@
 }
 
 impl QuotaCharge {
-    /// What a request takes; none if its account has no limit.
+    /// The charge of a request; none if its account has no limit.
     pub fn of(node: &FrontNode, account: &AccountRule, call: &CallHead) -> Option<Self> {
         let limit = pool_limit(node, account)?;
         let tokens = call.tokens.map_or(account.plain_tokens, TokenCount::total);
@@ -35,11 +35,11 @@
     }
 }
 
-/// Why there is no room for a request.
+/// Why a request cannot be charged to its account.
 enum ChargeError {
-    /// The account's window is full, for so long.
+    /// The account's window is full for this time.
     Full(TimeSpan),
-    /// No ledger answers.
+    /// No ledger answered.
     Unreached,
 }
 
@@ -52,10 +52,10 @@
     }
 }
 
-/// Pays for an attempt that may run.
+/// Charges an attempt to its account.
 ///
 /// # Errors
-/// When the caller may come back, if there is no room.
+/// The Retry-After time, if the account's limit leaves no room or no ledger can be reached.
 pub async fn charge_quota(
     node: &FrontNode,
     charge: &QuotaCharge,
@@ -81,7 +81,7 @@
     Err(left)
 }
 
-/// Pays for a further attempt of a request.
+/// Charges a retry of a request; returns whether it was admitted.
 pub async fn charge_retry(node: &FrontNode, charge: &QuotaCharge, request: &str) -> bool {
     let is_paid = charge_quota(node, charge, request).await.is_ok();
     if is_paid {
@@ -90,14 +90,14 @@
     is_paid
 }
 
-/// Pays for a request that goes to a version under the order of a roll-out; asks the ledger only if it `may_ask`.
+/// Charges a request to the exposure limit of a version that is being rolled out; asks the ledger only if it `may_ask`.
 pub(crate) async fn charge_rollout(node: &FrontNode, account: &AccountName, may_ask: bool) -> bool {
     let limit = oleander_release::exposure_limit(0.0);
     let charge = QuotaCharge { account: account.clone(), limit, tokens: 1 };
     spend(node, &charge) || (may_ask && ask_ledger(node, &charge).await.is_ok())
 }
 
-/// Gives back what was paid for an attempt that certainly did not run.
+/// Refunds the charge of an attempt that certainly did not run.
 pub fn refund_quota(node: &FrontNode, charge: &QuotaCharge) {
     node.limits.borrow_mut().give_back(&charge.account, charge.tokens);
 }
@@ -113,7 +113,7 @@
     node.limits.borrow_mut().spend_own(account, limit, *tokens, at)
 }
 
-/// Asks the ledger for room for one request.
+/// Asks the ledger to allot enough for one request.
 async fn ask_ledger(node: &FrontNode, charge: &QuotaCharge) -> Result<(), ChargeError> {
     if let Some(left) = full_for(node, charge) {
         return Err(ChargeError::Full(left));
@@ -133,7 +133,8 @@
     node.limits.borrow().full_for(&charge.account, node.clock.lease_now())
 }
 
-/// Asks once no other claim is under way. What that one brought may be enough, or tell that there is no room.
+/// Asks the ledger when no other claim is in flight. The answer to that claim may be enough for this request too, or
+/// show that the window is full.
 async fn ask_serialized(node: &FrontNode, charge: &QuotaCharge) -> Result<(), ChargeError> {
     let _exchange = node.limit_exchange.lock().await;
     if spend(node, charge) {
--- a/tests/all/paying.rs
+++ b/tests/all/paying.rs
@@ -1,4 +1,4 @@
-//! What requests take of their account's limit, through a real process and scripted endpoints.
+//! Charging requests to their account's limit, through a real process and scripted endpoints.
 
 use crate::front::{ask, front_with, request, run, static_store};
 use crate::scripted::{Act, Scripted, scripted};
@@ -9,16 +9,16 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Tokens that a request without a count stands for.
+/// Tokens charged for a request without a token count.
 const TOKENS_PER_REQUEST: u64 = 200;
-/// Between two looks whether the process has a ledger.
+/// Interval of polling whether the process has a ledger.
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const OK_ANSWER: &str = "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {id}\r\n\
     X-Oleandertack-Response-Seal: seal\r\nContent-Length: 2\r\n\r\nok";
 const NOT_RUN_ANSWER: &str = "HTTP/1.1 503 Full\r\nX-Oleandertack-Request-Id: {id}\r\n\
     X-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A process before endpoints, with an account of 100 tokens a second and a burst of 1,200: 2,000 a window.
+/// A process with these endpoints and an account of 100 tokens a second with a burst of 1,200: 2,000 in a window.
 async fn limited_front(endpoints: &[&Scripted]) -> (FrontProcess, SocketAddr) {
     let addresses: Vec<SocketAddr> = endpoints.iter().map(|endpoint| endpoint.address).collect();
     let store = static_store(&addresses).with_rules(|rules| {
@@ -42,8 +42,8 @@
     limits.stands(process.node.clock.lease_now()).map(|(_, stand)| stand.spent).sum()
 }
 
-/// Operators see an account above its limit, by what was answered well: each answered request was paid back, as
-/// none of its attempts had ended without an answer.
+/// Guards against accounts that exceed their limit: answered requests were refunded, because none of their attempts
+/// had failed.
 #[test]
 fn a_request_that_was_answered_is_paid_for() {
     run(async {
@@ -59,8 +59,8 @@
     });
 }
 
-/// Operators count the tokens of each attempt that runs; one that was made again after its endpoint failed counted
-/// once here.
+/// Each attempt that may have run counts against the limit. A request that was retried after its endpoint failed was
+/// charged only once.
 #[test]
 fn a_further_attempt_is_paid_for() {
     run(async {
@@ -75,7 +75,7 @@
     });
 }
 
-/// A caller that no endpoint took in has used nothing of its limit.
+/// A request that every endpoint refused without running it must use nothing of its account's limit.
 #[test]
 fn a_request_that_did_not_run_is_given_back() {
     run(async {
@@ -89,7 +89,7 @@
     });
 }
 
-/// A caller beyond its limit is told so at once, and when to come back; nothing of it reaches an endpoint.
+/// A request above the limit is refused at once with a `Retry-After` time, and must not reach an endpoint.
 #[test]
 fn a_request_beyond_the_limit_is_refused_with_the_time_to_come_back() {
     run(async {
