--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -29,7 +29,7 @@
 /// The same for a platform that does not check. The call takes effect whenever it arrives, and a lost
 /// packet is sent again after up to a second; by then nobody else may hold the lease. At most a third of
 /// the lease: it is renewed after as long, so that this much is left also after a renewal that failed.
-const UNCHECKED_MARGIN: TimeSpan = TimeSpan(1000);
+const UNFENCED_MARGIN: TimeSpan = TimeSpan(1000);
 /// A process that began a moment ago does not know the others yet, and would take the lease from
 /// nobody's hands only to lose the collecting to another.
 const SETTLE_TIME: TimeSpan = TimeSpan(600);
@@ -42,7 +42,7 @@
 
 /// How long a lease that could not be renewed because nobody reaches the store still stands. Nobody
 /// else can have taken it meanwhile, and where calls are fenced one that is sent too late is refused.
-const OVERDUE_TIME: TimeSpan = TimeSpan(10_000);
+const OVERDUE_LIFETIME: TimeSpan = TimeSpan(10_000);
 
 impl DutyLease {
     /// The token of the lease, if it is held and this process collects. It says what to begin, and is
@@ -50,21 +50,18 @@
     pub(crate) fn fence(&self) -> Option<u64> {
         let now = self.node.clock.lease_now();
         let keeper = self.keeper.borrow();
-        let overdue = || keeper.overdue_fence(now, OVERDUE_TIME).filter(|_| self.stands_overdue());
+        let overdue =
+            || keeper.overdue_fence(now, OVERDUE_LIFETIME).filter(|_| self.allows_overdue());
         keeper.fence(now, self.margin()).or_else(overdue).filter(|_| collects(&self.node))
     }
 
     fn margin(&self) -> TimeSpan {
         let bounds = self.node.bounds();
-        if bounds.fenced {
-            CALL_MARGIN
-        } else {
-            UNCHECKED_MARGIN.min(TimeSpan(bounds.lease_ms / 3))
-        }
+        if bounds.fenced { CALL_MARGIN } else { UNFENCED_MARGIN.min(TimeSpan(bounds.lease_ms / 3)) }
     }
 
-    fn stands_overdue(&self) -> bool {
-        self.node.bounds().fenced && store_is_away(&self.node)
+    fn allows_overdue(&self) -> bool {
+        self.node.bounds().fenced && store_is_unreachable(&self.node)
     }
 }
 
@@ -74,7 +71,7 @@
         let now = self.node.clock.lease_now();
         let mut keeper = self.keeper.borrow_mut();
         let fence = match keeper.act(now, self.margin()) {
-            None if self.stands_overdue() => keeper.act_overdue(now, OVERDUE_TIME),
+            None if self.allows_overdue() => keeper.act_overdue(now, OVERDUE_LIFETIME),
             held => held,
         }?;
         Some(DutyStamp { holder: self.node.settings.instance.clone(), fence })
@@ -82,7 +79,7 @@
 }
 
 /// Whether the store answers neither this process nor any that reports here.
-fn store_is_away(node: &FrontNode) -> bool {
+fn store_is_unreachable(node: &FrontNode) -> bool {
     let now = node.clock.now();
     let lost = node.rules_feed.get().lost_since.is_some();
     let mesh = node.mesh.borrow();
@@ -91,7 +88,7 @@
 }
 
 /// Does the control work until the task is ended.
-pub async fn do_duties(node: Rc<FrontNode>, cloud: Rc<dyn DutyPort>) {
+pub async fn run_duties(node: Rc<FrontNode>, cloud: Rc<dyn DutyPort>) {
     let life = node.mesh.borrow().view.me().life;
     let lasts = TimeSpan(node.bounds().lease_ms);
     let keeper = LeaseKeeper::new(node.settings.instance.clone(), life, lasts);
@@ -162,12 +159,12 @@
 async fn read_lease(node: &FrontNode) -> LeaseSaid {
     match node.store.read(FeedKind::Leases, LEASE_NAME).await {
         Ok(None) => LeaseSaid::Read(None),
-        Ok(Some(object)) => said_of(node, &object),
-        Err(fault) => not_done(node, &fault),
+        Ok(Some(object)) => decode_lease(node, &object),
+        Err(fault) => note_call_failure(node, &fault),
     }
 }
 
-fn said_of(node: &FrontNode, object: &FeedObject) -> LeaseSaid {
+fn decode_lease(node: &FrontNode, object: &FeedObject) -> LeaseSaid {
     match serde_json::from_slice::<LeaseRecord>(&object.body) {
         Ok(record) => LeaseSaid::Read(Some((object.revision, record))),
         Err(fault) => {
@@ -177,7 +174,7 @@
     }
 }
 
-fn not_done(node: &FrontNode, fault: &PlatError) -> LeaseSaid {
+fn note_call_failure(node: &FrontNode, fault: &PlatError) -> LeaseSaid {
     event!(node, LeaseFault; "fault" => fault.to_string());
     if fault.may_have_happened() { LeaseSaid::Unknown } else { LeaseSaid::NotDone }
 }
@@ -191,7 +188,7 @@
             event!(node, LeaseFault; "fault" => "another wrote it meanwhile");
             LeaseSaid::Changed
         }
-        Err(fault) => not_done(node, &fault),
+        Err(fault) => note_call_failure(node, &fault),
     }
 }
 
--- a/crates/front/src/duties/orders.rs
+++ b/crates/front/src/duties/orders.rs
@@ -19,14 +19,14 @@
 
 /// Endpoints that start together with this process enter the list within about two heartbeats;
 /// before that, "as many as there are" would be too few.
-const LIST_SETTLE: TimeSpan = TimeSpan(3000);
+const LIST_SETTLE_TIME: TimeSpan = TimeSpan(3000);
 /// Demand is believed after this time: its averages have filled by then.
-const DEMAND_SETTLE: TimeSpan = TimeSpan(4000);
+const DEMAND_SETTLE_TIME: TimeSpan = TimeSpan(4000);
 
 #[derive(Default)]
-struct ServiceStand {
+struct ServiceState {
     need: ServiceNeed,
-    asked_since: Option<ClockTime>,
+    demand_since: Option<ClockTime>,
     /// Whether the need was told by the last holder.
     inherited: bool,
 }
@@ -38,7 +38,7 @@
     lease: Rc<DutyLease>,
 ) {
     let mut memory = OrderMemory::default();
-    let mut stands: BTreeMap<ServiceName, ServiceStand> = BTreeMap::new();
+    let mut states: BTreeMap<ServiceName, ServiceState> = BTreeMap::new();
     let mut fence = 0;
     loop {
         actix_rt::time::sleep(DUTY_PERIOD.duration()).await;
@@ -46,37 +46,37 @@
         if held != fence {
             // Another holder may have ordered meanwhile.
             memory = OrderMemory::default();
-            stands = inherit_peaks(&node);
+            states = inherit_peaks(&node);
             fence = held;
         }
         let Some(rules) = node.current_rules() else { continue };
         let known_since = node.endpoints_feed.get().known_since;
-        if known_since.is_none_or(|since| node.clock.now() - since < LIST_SETTLE) {
+        if known_since.is_none_or(|since| node.clock.now() - since < LIST_SETTLE_TIME) {
             continue;
         }
-        let orders = due_orders(&node, &rules, &mut stands, &mut memory);
-        share_peaks(&node, &stands);
+        let orders = plan_due_orders(&node, &rules, &mut states, &mut memory);
+        publish_peaks(&node, &states);
         for order in orders {
             send_order(&node, cloud.as_ref(), lease.as_ref(), &order, &mut memory).await;
         }
     }
 }
 
-fn due_orders(
+fn plan_due_orders(
     node: &FrontNode,
     rules: &RuleSet,
-    stands: &mut BTreeMap<ServiceName, ServiceStand>,
+    states: &mut BTreeMap<ServiceName, ServiceState>,
     memory: &mut OrderMemory,
 ) -> Vec<ScaleOrder> {
     let mut orders = Vec::new();
     for service in rules.services() {
         let (Some(scale), Some(engine)) = (&service.scale, &service.engine) else { continue };
-        let stand = stands.entry(service.name.clone()).or_default();
-        let needed = needed_of(node, &service.name, engine, stand);
+        let state = states.entry(service.name.clone()).or_default();
+        let needed = peak_need(node, &service.name, engine, state);
         let domains = domain_stands(node, &service.name, scale);
         memory.note_stand(&service.name, &domains, node.clock.now());
-        let needed_now = stand.need.recent_peak(node.clock.now());
-        let lost = lost_endpoints(node, &service.name, needed_now);
+        let needed_now = state.need.recent_peak(node.clock.now());
+        let lost = endpoints_lost_to_limits(node, &service.name, needed_now);
         let facts = ScaleFacts {
             service: &service.name,
             rule: scale,
@@ -88,18 +88,19 @@
         };
         let planned = plan_orders(&facts, memory);
         // While a version is tried the endpoints of both are counted. Taking some away would take either.
-        let is_tried = releases::is_under_way(node, &service.name);
+        let in_rollout = releases::is_under_way(node, &service.name);
         let live = |order: &ScaleOrder| {
-            let mut stands = domains.iter().filter(|stand| stand.domain == order.domain);
-            stands.next().map_or(0, |stand| stand.live.of(order.market))
+            let mut states = domains.iter().filter(|state| state.domain == order.domain);
+            states.next().map_or(0, |state| state.live.of(order.market))
         };
-        orders.extend(planned.into_iter().filter(|order| !is_tried || order.count >= live(order)));
+        orders
+            .extend(planned.into_iter().filter(|order| !in_rollout || order.count >= live(order)));
     }
     orders
 }
 
 /// Endpoints by which a service has fewer than are listed, as some named a limit.
-fn lost_endpoints(node: &FrontNode, service: &ServiceName, needed: f64) -> f64 {
+fn endpoints_lost_to_limits(node: &FrontNode, service: &ServiceName, needed: f64) -> f64 {
     let mesh = node.mesh.borrow();
     let Some(collector) = mesh.collector.as_ref() else { return 0.0 };
     let asked = collector.demand_of(service, node.clock.now()).requests;
@@ -109,11 +110,11 @@
     lost_to_limits(limits, asked, needed)
 }
 
-fn needed_of(
+fn peak_need(
     node: &FrontNode,
     service: &ServiceName,
     engine: &EngineRule,
-    stand: &mut ServiceStand,
+    state: &mut ServiceState,
 ) -> Option<f64> {
     let now = node.clock.now();
     let mesh = node.mesh.borrow();
@@ -125,42 +126,42 @@
         .map(|fact| collector.requests_at(EndpointMark::of(&fact.entry.instance, fact.entry.life)))
         .sum();
     if demand.requests > 0.0 {
-        stand.asked_since.get_or_insert(now);
+        state.demand_since.get_or_insert(now);
     }
     let tokens = (demand.unread_tokens, demand.answer_tokens);
-    let since = stand.asked_since?;
+    let since = state.demand_since?;
     let per_ms = node.seen_per_ms(service);
     // A need by the careful figure would count for as long as the highest need does, and order engines
     // that nobody needs; the speed is known before these have started.
-    if per_ms.is_none() && now - since < DEMAND_SETTLE {
+    if per_ms.is_none() && now - since < DEMAND_SETTLE_TIME {
         return None;
     }
     let per_ms = per_ms.unwrap_or(ASSUMED_PER_MS);
-    stand.need.note(needed_engines(engine, per_ms, tokens, running), now);
-    let known = stand.inherited || now - since >= DEMAND_SETTLE;
-    known.then(|| stand.need.peak())
+    state.need.note(needed_engines(engine, per_ms, tokens, running), now);
+    let known = state.inherited || now - since >= DEMAND_SETTLE_TIME;
+    known.then(|| state.need.peak())
 }
 
 /// Tells the other processes what services need, so that the next holder knows it at once.
-fn share_peaks(node: &FrontNode, stands: &BTreeMap<ServiceName, ServiceStand>) {
-    let known = stands.iter().filter(|(_, stand)| stand.asked_since.is_some());
-    let peak = |(service, stand): (&ServiceName, &ServiceStand)| ServicePeak {
+fn publish_peaks(node: &FrontNode, states: &BTreeMap<ServiceName, ServiceState>) {
+    let known = states.iter().filter(|(_, state)| state.demand_since.is_some());
+    let peak = |(service, state): (&ServiceName, &ServiceState)| ServicePeak {
         service: service.clone(),
-        needed: stand.need.peak(),
+        needed: state.need.peak(),
     };
     node.mesh.borrow_mut().peaks = known.map(peak).collect();
 }
 
 /// Begins with what the last holder told.
-fn inherit_peaks(node: &FrontNode) -> BTreeMap<ServiceName, ServiceStand> {
+fn inherit_peaks(node: &FrontNode) -> BTreeMap<ServiceName, ServiceState> {
     let now = node.clock.now();
-    let stand = |peak: &ServicePeak| {
-        let mut stand = ServiceStand { inherited: true, ..ServiceStand::default() };
-        stand.need.note(peak.needed, now);
-        stand.asked_since = Some(now);
-        (peak.service.clone(), stand)
+    let state = |peak: &ServicePeak| {
+        let mut state = ServiceState { inherited: true, ..ServiceState::default() };
+        state.need.note(peak.needed, now);
+        state.demand_since = Some(now);
+        (peak.service.clone(), state)
     };
-    node.mesh.borrow().peaks.iter().map(stand).collect()
+    node.mesh.borrow().peaks.iter().map(state).collect()
 }
 
 fn domain_stands(node: &FrontNode, service: &ServiceName, scale: &ScaleRule) -> Vec<DomainStand> {
@@ -179,12 +180,12 @@
         }
         count
     };
-    let stand = |(domain, price): &(DomainName, f64)| DomainStand {
+    let state = |(domain, price): &(DomainName, f64)| DomainStand {
         domain: domain.clone(),
         price: *price,
         live: live(domain),
     };
-    scale.domain_prices.iter().map(stand).collect()
+    scale.domain_prices.iter().map(state).collect()
 }
 
 async fn send_order(
--- a/crates/front/src/duties/usage.rs
+++ b/crates/front/src/duties/usage.rs
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 
 /// Usage reports that the store keeps; the oldest is overwritten. Two times what can be under way.
-const KEPT_REPORTS: u64 = 8;
+const REPORT_SLOTS: u64 = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct FixedReport {
+struct PersistedReport {
     window: u64,
     counts: BTreeMap<AccountName, u64>,
 }
@@ -39,10 +39,11 @@
         let now = node.true_now();
         let current = match duty.take() {
             Some((known, duty)) if known == fence => duty,
-            _ => begin_usage(&node, length, due, now),
+            _ => resume_usage(&node, length, due, now),
         };
         let (_, duty) = duty.insert((fence, current));
-        let UsageStep::Report(window) = duty.next(now, |since| all_reported(&node, since)) else {
+        let UsageStep::Report(window) = duty.next(now, |since| all_members_reported(&node, since))
+        else {
             continue;
         };
         if duty.is_late(window, now)
@@ -59,7 +60,7 @@
 }
 
 /// A duty that goes on after the windows that are known to be reported.
-fn begin_usage(node: &FrontNode, length: TimeSpan, due: TimeSpan, now: ClockTime) -> UsageDuty {
+fn resume_usage(node: &FrontNode, length: TimeSpan, due: TimeSpan, now: ClockTime) -> UsageDuty {
     let mut duty = UsageDuty::begin(length, due, now);
     let reported = node.mesh.borrow().reported_window;
     if reported <= window_of(now, length) {
@@ -68,7 +69,7 @@
     duty
 }
 
-fn all_reported(node: &FrontNode, since: ClockTime) -> bool {
+fn all_members_reported(node: &FrontNode, since: ClockTime) -> bool {
     let mesh = node.mesh.borrow();
     let now = node.clock.now();
     let since = now - (node.true_now() - since);
@@ -90,13 +91,13 @@
         let mesh = node.mesh.borrow();
         mesh.collector.as_ref().map(|collector| collector.usage_of(window)).unwrap_or_default()
     };
-    let Some(fixed) = fix_report(node, FixedReport { window, counts }).await else {
+    let Some(persisted) = persist_report(node, PersistedReport { window, counts }).await else {
         return false;
     };
-    if fixed.window != window || fixed.counts.is_empty() {
+    if persisted.window != window || persisted.counts.is_empty() {
         return true;
     }
-    let report = UsageReport { window, counts: fixed.counts };
+    let report = UsageReport { window, counts: persisted.counts };
     match cloud.report_usage(lease, &report).await {
         Ok(DutyAnswer::Done) => {
             node.meter.count_usage(true);
@@ -121,11 +122,11 @@
 
 /// Fixes a report in its place of the store; gives back what is fixed for the window. `None` if
 /// that is not known now.
-async fn fix_report(node: &FrontNode, report: FixedReport) -> Option<FixedReport> {
+async fn persist_report(node: &FrontNode, report: PersistedReport) -> Option<PersistedReport> {
     if report.counts.is_empty() {
         return Some(report);
     }
-    let name = format!("{}", report.window % KEPT_REPORTS);
+    let name = format!("{}", report.window % REPORT_SLOTS);
     let body = encode(node, &report)?;
     let mut guard = FeedGuard::Absent;
     if let Some(revision) = node.report_revisions.borrow().get(&name).copied() {
@@ -138,7 +139,7 @@
                 return Some(report);
             }
             Ok(FeedWrite::Refused(Some(object))) => {
-                let known: FixedReport = serde_json::from_slice(&object.body).ok()?;
+                let known: PersistedReport = serde_json::from_slice(&object.body).ok()?;
                 if known.window >= report.window {
                     return Some(known);
                 }
--- a/crates/front/src/process.rs
+++ b/crates/front/src/process.rs
@@ -95,7 +95,7 @@
         tasks.push(actix_rt::spawn(reload::follow_settings(node.clone(), path)));
     }
     if let Some(cloud) = ports.cloud {
-        tasks.push(actix_rt::spawn(duties::do_duties(node.clone(), cloud)));
+        tasks.push(actix_rt::spawn(duties::run_duties(node.clone(), cloud)));
     }
     event!(node, ProcessStarted; "listen" => node.settings.listen.to_string());
     Ok(FrontProcess { node, address, _ready: ready, _admin: admin, _peers: peers, tasks })
--- a/tests/all/holder.rs
+++ b/tests/all/holder.rs
@@ -18,29 +18,29 @@
 
 const LEASE_MS: u64 = 600;
 /// Longer than the lease and what others wait besides.
-const STANDSTILL: Duration = Duration::from_millis(800);
+const SUSPENSION_TIME: Duration = Duration::from_millis(800);
 
 /// Blocks the only thread of the process, once.
 #[derive(Default)]
-struct StandStill {
+struct ProcessSuspension {
     over: Cell<bool>,
 }
 
-impl StandStill {
-    fn happen(&self) {
+impl ProcessSuspension {
+    fn suspend_once(&self) {
         if !self.over.replace(true) {
-            std::thread::sleep(STANDSTILL);
+            std::thread::sleep(SUSPENSION_TIME);
         }
     }
 }
 
 /// A store in front of whose answer to a usage report the process stands still.
-struct FrozenStore {
+struct SuspendingStore {
     inner: StaticStore,
-    freeze: Rc<StandStill>,
+    suspension: Rc<ProcessSuspension>,
 }
 
-impl FeedStore for FrozenStore {
+impl FeedStore for SuspendingStore {
     fn list(&self, kind: FeedKind) -> LocalBoxFuture<'_, Result<FeedPage>> {
         self.inner.list(kind)
     }
@@ -65,7 +65,7 @@
         body: Bytes,
     ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
         if kind == FeedKind::UsageReports {
-            self.freeze.happen();
+            self.suspension.suspend_once();
         }
         self.inner.write(kind, name, guard, body)
     }
@@ -77,26 +77,26 @@
 
 /// A cloud that notes whether each call had a right to leave.
 #[derive(Default)]
-struct NotingCloud {
+struct RecordingCloud {
     /// Before the first call leaves, the process stands still.
-    freeze: Option<Rc<StandStill>>,
-    stamped: RefCell<Vec<bool>>,
+    suspension: Option<Rc<ProcessSuspension>>,
+    permitted: RefCell<Vec<bool>>,
     called: Notify,
 }
 
-impl NotingCloud {
+impl RecordingCloud {
     fn take(&self, permit: &dyn DutyPermit) -> Result<DutyAnswer> {
-        if let Some(freeze) = &self.freeze {
-            freeze.happen();
+        if let Some(suspension) = &self.suspension {
+            suspension.suspend_once();
         }
         let stamp = permit.stamp();
-        self.stamped.borrow_mut().push(stamp.is_some());
+        self.permitted.borrow_mut().push(stamp.is_some());
         self.called.notify_one();
         stamp.map(|_| DutyAnswer::Done).ok_or(PlatError::NotSent("no right".to_owned()))
     }
 }
 
-impl DutyPort for NotingCloud {
+impl DutyPort for RecordingCloud {
     fn report_usage<'a>(
         &'a self,
         permit: &'a dyn DutyPermit,
@@ -115,7 +115,7 @@
 }
 
 /// Whether each of the first two calls of a process had a right to leave.
-async fn first_calls(store: Box<dyn FeedStore>, cloud: Rc<NotingCloud>) -> Vec<bool> {
+async fn first_permits(store: Box<dyn FeedStore>, cloud: Rc<RecordingCloud>) -> Vec<bool> {
     let bounds = FrontBounds {
         lease_ms: LEASE_MS,
         usage_window_s: 0.3,
@@ -125,10 +125,10 @@
     let ports = FrontPorts { store, cloud: Some(cloud.clone()), clock: NodeClock::default() };
     let (_process, address) = front_with(ports, bounds).await;
     assert_eq!(ask(address, &request("POST", "/once/a", "r", "", "")).await.status(), "200");
-    while cloud.stamped.borrow().len() < 2 {
+    while cloud.permitted.borrow().len() < 2 {
         cloud.called.notified().await;
     }
-    cloud.stamped.borrow().clone()
+    cloud.permitted.borrow().clone()
 }
 
 /// An account is billed by two processes at once. The holder fixes a window's usage in the store and
@@ -136,31 +136,31 @@
 /// lease and reports. The first wakes and reports by the lease that it looked at before, and a platform
 /// that does not check tokens takes both.
 #[test]
-fn a_holder_that_stands_still_while_it_waits_for_the_store_does_not_act_when_it_wakes() {
+fn a_holder_suspended_while_it_waits_for_the_store_makes_no_call_when_it_resumes() {
     run(async {
         let endpoint = good("hello").await;
-        let freeze = Rc::new(StandStill::default());
+        let suspension = Rc::new(ProcessSuspension::default());
         let inner = static_store(&[endpoint.address]);
-        let store = FrozenStore { inner, freeze };
+        let store = SuspendingStore { inner, suspension };
 
-        let stamped = first_calls(Box::new(store), Rc::default()).await;
+        let permitted = first_permits(Box::new(store), Rc::default()).await;
 
         // The window is reported later, by the lease as it is then.
-        assert_eq!(stamped, [false, true]);
+        assert_eq!(permitted, [false, true]);
     });
 }
 
 /// The same while it waits for a connection to the platform: the call is begun by the lease, and would
 /// leave after it.
 #[test]
-fn a_holder_that_stands_still_while_it_connects_does_not_act_when_it_wakes() {
+fn a_holder_suspended_while_it_connects_makes_no_call_when_it_resumes() {
     run(async {
         let endpoint = good("hello").await;
-        let freeze = Some(Rc::new(StandStill::default()));
-        let cloud = Rc::new(NotingCloud { freeze, ..NotingCloud::default() });
+        let suspension = Some(Rc::new(ProcessSuspension::default()));
+        let cloud = Rc::new(RecordingCloud { suspension, ..RecordingCloud::default() });
 
-        let stamped = first_calls(Box::new(static_store(&[endpoint.address])), cloud).await;
+        let permitted = first_permits(Box::new(static_store(&[endpoint.address])), cloud).await;
 
-        assert_eq!(stamped, [false, true]);
+        assert_eq!(permitted, [false, true]);
     });
 }
