--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -1,4 +1,5 @@
-//! Control work: kept under one lease by the process that collects.
+//! Control work: ordering endpoints, reporting usage and executing roll-outs. The collector does it while it holds
+//! one lease, so that only one process does it at a time.
 
 mod orders;
 mod usage;
@@ -19,34 +20,35 @@
 use std::rc::Rc;
 use usage::report_usage;
 
-/// The object that holds the lease of the control work.
+/// Name of the store object that holds the lease for control work.
 const LEASE_NAME: &str = "control";
-/// Between two looks at what is to be done.
+/// Interval between two checks for control work to do.
 const DUTY_PERIOD: TimeSpan = TimeSpan(200);
-/// Lease time that must be left when a call is sent to a platform that checks its fencing token: this
-/// only keeps calls that are sure to be refused from being made.
+/// Lease time that must be left when a call is sent to a platform that checks fencing tokens. It only avoids
+/// calls that are certain to be refused.
 const CALL_MARGIN: TimeSpan = TimeSpan(100);
-/// The same for a platform that does not check. The call takes effect whenever it arrives, and a lost
-/// packet is sent again after up to a second; by then nobody else may hold the lease. At most a third of
-/// the lease: it is renewed after as long, so that this much is left also after a renewal that failed.
+/// Lease time that must be left for a platform that does not check fencing tokens. There a call takes effect
+/// whenever it arrives, and a lost packet is retransmitted after up to a second; no other process may hold the
+/// lease by then. At most a third of the lease time: the lease is renewed after a third, so that this much is
+/// left even after a failed renewal.
 const UNFENCED_MARGIN: TimeSpan = TimeSpan(1000);
-/// A process that began a moment ago does not know the others yet, and would take the lease from
-/// nobody's hands only to lose the collecting to another.
+/// How long a process must be the collector before it takes the lease. A process that has just started does not
+/// know the others yet; it would take a free lease and then lose the role of collector to another process.
 const SETTLE_TIME: TimeSpan = TimeSpan(600);
 
-/// The lease, shared by the tasks of the duties.
+/// The lease for control work, shared by the tasks that do this work.
 pub struct DutyLease {
     node: Rc<FrontNode>,
     keeper: RefCell<LeaseKeeper>,
 }
 
-/// How long a lease that could not be renewed because nobody reaches the store still stands. Nobody
-/// else can have taken it meanwhile, and where calls are fenced one that is sent too late is refused.
+/// How long an expired lease stays valid if no process can reach the store to renew it. No other process can have
+/// taken it meanwhile, and where calls are fenced a call that is sent too late is refused.
 const OVERDUE_LIFETIME: TimeSpan = TimeSpan(10_000);
 
 impl DutyLease {
-    /// The token of the lease, if it is held and this process collects. It says what to begin, and is
-    /// no right to call: that is looked up as a call leaves.
+    /// The fencing token of the lease, if it is held and this process is the collector. It tells whether to start
+    /// work; the right to make a call is checked again when the call is sent.
     pub(crate) fn fence(&self) -> Option<u64> {
         let now = self.node.clock.lease_now();
         let keeper = self.keeper.borrow();
@@ -78,7 +80,7 @@
     }
 }
 
-/// Whether the store answers neither this process nor any that reports here.
+/// Whether the store is unreachable for this process and for all that report to it.
 fn store_is_unreachable(node: &FrontNode) -> bool {
     let now = node.clock.now();
     let lost = node.rules_feed.get().lost_since.is_some();
@@ -87,7 +89,7 @@
     lost && mesh.collector.as_ref().is_some_and(|collector| !outdone(collector))
 }
 
-/// Does the control work until the task is ended.
+/// Does the control work until the task is cancelled.
 pub async fn run_duties(node: Rc<FrontNode>, cloud: Rc<dyn DutyPort>) {
     let life = node.mesh.borrow().view.me().life;
     let lasts = TimeSpan(node.bounds().lease_ms);
@@ -107,7 +109,7 @@
     }
 }
 
-/// Whether this process collects, and has for long enough to know the others.
+/// Whether this process is the collector and has been it for long enough to know the other processes.
 pub(crate) fn collects(node: &FrontNode) -> bool {
     let now = node.clock.now();
     let mesh = node.mesh.borrow();
@@ -124,7 +126,7 @@
     }
     let succeeded = node.mesh.borrow().is_succeeded(node.clock.now());
     if node.mesh.borrow().view.me().leaving || succeeded {
-        // The process that collects now need not wait for the end of the lease.
+        // The next collector need not wait until the lease expires.
         let action = lease.keeper.borrow_mut().release(now);
         return act_on_lease(node, lease, action).await;
     }
@@ -192,7 +194,7 @@
     }
 }
 
-/// Encodes an object of ours for the store.
+/// Encodes a value as JSON for the store; an error is logged.
 pub(crate) fn encode(node: &FrontNode, value: &impl Serialize) -> Option<Bytes> {
     match serde_json::to_vec(value) {
         Ok(text) => Some(Bytes::from(text)),
--- a/crates/front/src/duties/orders.rs
+++ b/crates/front/src/duties/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of endpoints, by what is asked of each service.
+//! Orders endpoints from the cloud according to the demand of each service.
 
 use super::{DUTY_PERIOD, DutyLease};
 use crate::events::event;
@@ -17,17 +17,17 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Endpoints that start together with this process enter the list within about two heartbeats;
-/// before that, "as many as there are" would be too few.
+/// How long the endpoint list must be known before orders are planned. Endpoints that start together with this
+/// process enter the list within about two heartbeats; before that, too few of them are counted.
 const LIST_SETTLE_TIME: TimeSpan = TimeSpan(3000);
-/// Demand is believed after this time: its averages have filled by then.
+/// How long a service must have demand before its need is used: the averages have filled by then.
 const DEMAND_SETTLE_TIME: TimeSpan = TimeSpan(4000);
 
 #[derive(Default)]
 struct ServiceState {
     need: ServiceNeed,
     demand_since: Option<ClockTime>,
-    /// Whether the need was told by the last holder.
+    /// Whether the need was received from the previous holder of the lease.
     inherited: bool,
 }
 
@@ -44,7 +44,7 @@
         actix_rt::time::sleep(DUTY_PERIOD.duration()).await;
         let Some(held) = lease.fence() else { continue };
         if held != fence {
-            // Another holder may have ordered meanwhile.
+            // Another holder of the lease may have ordered endpoints meanwhile.
             memory = OrderMemory::default();
             states = inherit_peaks(&node);
             fence = held;
@@ -87,7 +87,8 @@
             now: node.clock.now(),
         };
         let planned = plan_orders(&facts, memory);
-        // While a version is tried the endpoints of both are counted. Taking some away would take either.
+        // During a roll-out the endpoints of both versions are counted. An order for fewer could remove those of
+        // either version.
         let in_rollout = releases::is_under_way(node, &service.name);
         let live = |order: &ScaleOrder| {
             let mut states = domains.iter().filter(|state| state.domain == order.domain);
@@ -99,7 +100,7 @@
     orders
 }
 
-/// Endpoints by which a service has fewer than are listed, as some named a limit.
+/// Number of endpoints that a service lacks because listed endpoints signalled rate limits.
 fn endpoints_lost_to_limits(node: &FrontNode, service: &ServiceName, needed: f64) -> f64 {
     let mesh = node.mesh.borrow();
     let Some(collector) = mesh.collector.as_ref() else { return 0.0 };
@@ -131,8 +132,8 @@
     let tokens = (demand.unread_tokens, demand.answer_tokens);
     let since = state.demand_since?;
     let per_ms = node.seen_per_ms(service);
-    // A need by the careful figure would count for as long as the highest need does, and order engines
-    // that nobody needs; the speed is known before these have started.
+    // A need based on the conservative speed would count for as long as the peak need does and order engines
+    // that are not needed. The speed is measured before these have started.
     if per_ms.is_none() && now - since < DEMAND_SETTLE_TIME {
         return None;
     }
@@ -142,7 +143,7 @@
     known.then(|| state.need.peak())
 }
 
-/// Tells the other processes what services need, so that the next holder knows it at once.
+/// Shares the peak needs of services with the other processes, so that the next holder of the lease has them.
 fn publish_peaks(node: &FrontNode, states: &BTreeMap<ServiceName, ServiceState>) {
     let known = states.iter().filter(|(_, state)| state.demand_since.is_some());
     let peak = |(service, state): (&ServiceName, &ServiceState)| ServicePeak {
@@ -152,7 +153,7 @@
     node.mesh.borrow_mut().peaks = known.map(peak).collect();
 }
 
-/// Begins with what the last holder told.
+/// The needs of services as received from the previous holder of the lease.
 fn inherit_peaks(node: &FrontNode) -> BTreeMap<ServiceName, ServiceState> {
     let now = node.clock.now();
     let state = |peak: &ServicePeak| {
--- a/crates/front/src/duties/usage.rs
+++ b/crates/front/src/duties/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of usage, fixed in the store before they are sent.
+//! Reports usage to the platform. Each report is written to the store before it is sent.
 
 use super::{DUTY_PERIOD, DutyLease, encode};
 use crate::events::event;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Usage reports that the store keeps; the oldest is overwritten. Two times what can be under way.
+/// Number of reports kept in the store; the oldest is overwritten. Twice the number that can be pending.
 const REPORT_SLOTS: u64 = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -59,7 +59,7 @@
     }
 }
 
-/// A duty that goes on after the windows that are known to be reported.
+/// Creates a duty that continues after the windows already known to be reported.
 fn resume_usage(node: &FrontNode, length: TimeSpan, due: TimeSpan, now: ClockTime) -> UsageDuty {
     let mut duty = UsageDuty::begin(length, due, now);
     let reported = node.mesh.borrow().reported_window;
@@ -76,11 +76,10 @@
     mesh.collector.as_ref().is_some_and(|collector| collector.all_reported_since(&mesh.view, since))
 }
 
-/// Reports one window; says whether nothing is left to do for it.
+/// Reports one window; returns whether it is finished.
 ///
-/// The counts are fixed in the store before they are sent. Whoever repeats the call, after a lost
-/// answer or as the next holder, sends the same; two different reports of a window would be billed
-/// twice.
+/// The counts are written to the store before they are sent, so that a retry after a lost answer, also one by
+/// the next holder of the lease, sends the same counts. Two different reports of a window would be billed twice.
 async fn report_window(
     node: &FrontNode,
     cloud: &dyn DutyPort,
@@ -120,8 +119,8 @@
     }
 }
 
-/// Fixes a report in its place of the store; gives back what is fixed for the window. `None` if
-/// that is not known now.
+/// Writes a report to its slot in the store, unless one exists for the window; returns the report that is stored.
+/// `None` if that cannot be determined now.
 async fn persist_report(node: &FrontNode, report: PersistedReport) -> Option<PersistedReport> {
     if report.counts.is_empty() {
         return Some(report);
--- a/tests/all/holder.rs
+++ b/tests/all/holder.rs
@@ -1,4 +1,4 @@
-//! Control work of a holder that stands still between its look at the lease and its call.
+//! Control work of a lease holder that is suspended between checking the lease and sending a call.
 
 use crate::front::{StaticStore, ask, front_with, good, request, run, static_store};
 use bytes::Bytes;
@@ -17,10 +17,10 @@
 use tokio::sync::Notify;
 
 const LEASE_MS: u64 = 600;
-/// Longer than the lease and what others wait besides.
+/// Longer than the lease and the time that other processes wait in addition.
 const SUSPENSION_TIME: Duration = Duration::from_millis(800);
 
-/// Blocks the only thread of the process, once.
+/// Blocks the only thread of the process once.
 #[derive(Default)]
 struct ProcessSuspension {
     over: Cell<bool>,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A store in front of whose answer to a usage report the process stands still.
+/// A store that suspends the process before it writes a usage report.
 struct SuspendingStore {
     inner: StaticStore,
     suspension: Rc<ProcessSuspension>,
@@ -75,10 +75,10 @@
     }
 }
 
-/// A cloud that notes whether each call had a right to leave.
+/// A cloud that records whether each call was permitted when it was sent.
 #[derive(Default)]
 struct RecordingCloud {
-    /// Before the first call leaves, the process stands still.
+    /// Suspends the process before the first call is sent.
     suspension: Option<Rc<ProcessSuspension>>,
     permitted: RefCell<Vec<bool>>,
     called: Notify,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Whether each of the first two calls of a process had a right to leave.
+/// Whether each of the first two calls of a process was permitted when it was sent.
 async fn first_permits(store: Box<dyn FeedStore>, cloud: Rc<RecordingCloud>) -> Vec<bool> {
     let bounds = FrontBounds {
         lease_ms: LEASE_MS,
@@ -131,10 +131,10 @@
     cloud.permitted.borrow().clone()
 }
 
-/// An account is billed by two processes at once. The holder fixes a window's usage in the store and
-/// stands still for longer than its lease while it waits for the answer. Another process takes the
-/// lease and reports. The first wakes and reports by the lease that it looked at before, and a platform
-/// that does not check tokens takes both.
+/// Guards against an account that is billed by two processes. The holder writes a window's usage to the store
+/// and is suspended for longer than its lease while it waits for the answer. Another process takes the lease
+/// and reports. The first resumes and reports under its expired lease, and a platform that does not check
+/// fencing tokens accepts both.
 #[test]
 fn a_holder_suspended_while_it_waits_for_the_store_makes_no_call_when_it_resumes() {
     run(async {
@@ -145,13 +145,13 @@
 
         let permitted = first_permits(Box::new(store), Rc::default()).await;
 
-        // The window is reported later, by the lease as it is then.
+        // The window is reported later, under the lease that is held then.
         assert_eq!(permitted, [false, true]);
     });
 }
 
-/// The same while it waits for a connection to the platform: the call is begun by the lease, and would
-/// leave after it.
+/// The same failure while the holder connects to the platform: the call is started under the lease and would
+/// be sent after it has expired.
 #[test]
 fn a_holder_suspended_while_it_connects_makes_no_call_when_it_resumes() {
     run(async {
