--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -1,9 +1,11 @@
-//! One attempt at one endpoint: a connection, the request on it, and the answer that came.
+//! Sends a request to one endpoint and reads the answer: one attempt.
+//!
+//! Grades the endpoint by the result, and reports failures to the other processes.
 
-use crate::drive::{AttemptOutcome, CallRun};
+use crate::drive::{AttemptOutcome, CallContext};
 use crate::events::event;
 use crate::suspects::BrokenAttempt;
-use crate::work::{FirstWait, WorkGuard};
+use crate::work::{AnswerWait, WorkGuard};
 use crate::{releases, stream, suspects, whole, words};
 use actix_http::{RequestHead, ResponseHead, Version};
 use compact_str::CompactString;
@@ -22,22 +24,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Time to make a connection to an endpoint: a lost opening packet is sent again after a second,
-/// and by then another endpoint has answered.
-pub(crate) const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// How long an idle connection to an endpoint is kept if the endpoint does not say.
-pub(crate) const IDLE_KEPT: Duration = Duration::from_millis(2000);
-/// The part of an endpoint's own idle time that is used, so that it does not close a connection
-/// while a request is on its way on it.
-const IDLE_PART: f64 = 0.6;
-/// The most idle connections to one endpoint.
-pub(crate) const IDLE_MOST: usize = 32;
+/// Timeout of a connection to an endpoint. A lost SYN is sent again only after a second, and by then
+/// another endpoint has answered.
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long an idle connection is pooled if the endpoint announces no keep-alive time.
+pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Fraction of an endpoint's keep-alive time for which a connection is pooled, so that the endpoint
+/// does not close it while a request is in flight.
+const IDLE_FRACTION: f64 = 0.6;
+/// Most idle connections pooled for one endpoint.
+pub(crate) const MAX_IDLE_LINKS: usize = 32;
 
-/// A kept connection that its endpoint had closed already ends within this time: two crossings of failure
-/// domains take 3 ms, and the shortest work of an endpoint some 15.
-const CLOSING_RACE: Duration = Duration::from_millis(8);
+/// A pooled connection that fails within this time was already closed by its endpoint, not broken by the
+/// request: a round trip between failure domains takes 3 ms, and the shortest work of an endpoint about 15 ms.
+const STALE_LINK_WINDOW: Duration = Duration::from_millis(8);
 
-/// What an attempt needs to know of its endpoint.
+/// The endpoint of an attempt.
 struct AttemptTarget {
     key: EndpointKey,
     life: EndpointIncarnation,
@@ -45,15 +47,17 @@
     version: CompactString,
 }
 
-impl CallRun<'_, '_> {
-    /// Makes an attempt at the endpoint chosen.
+impl CallContext<'_, '_> {
+    /// Sends the request to the chosen endpoint and passes on its answer.
     pub async fn attempt(&mut self, choice: PlacementChoice) -> AttemptOutcome {
-        let Some(target) = self.target(choice.key).filter(|_| self.try_acquire(choice.key)) else {
+        let Some(target) =
+            self.target(choice.key).filter(|_| self.spend_endpoint_limit(choice.key))
+        else {
             return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
         };
         self.current = Some(target.key);
         self.endpoint = Some(target.life.instance.clone());
-        self.ran_at = Some((target.life.clone(), target.address));
+        self.last_target = Some((target.life.clone(), target.address));
         self.sent_at = None;
         self.chosen = Some(choice);
         self.note_list_age();
@@ -62,23 +66,26 @@
             self.node.note_demand(&self.service, |demand| demand.sent += 1);
         }
         let route = releases::told_route(self.node, &self.service, &self.route().name);
-        let waits = (self.first_wait(&choice), route);
+        let waits = (self.expected_wait(&choice), route);
         let mut work = WorkGuard::begin(self.node, target.key, choice.unread, waits);
-        let outcome = self.attempt_at(&target, &mut work).await;
+        let outcome = self.send_and_read(&target, &mut work).await;
         self.current = None;
         self.count_version(&target, &outcome);
         match &outcome {
-            AttemptOutcome::Delivered => suspects::note_answer(self.node, self.print),
-            AttemptOutcome::Ended(end, _) if !work.is_borne() => self.note_broken(target.key, *end),
+            AttemptOutcome::Delivered => suspects::note_answer(self.node, self.fingerprint),
+            AttemptOutcome::Ended(end, _) if !work.has_survived() => {
+                self.note_broken(target.key, *end)
+            }
             AttemptOutcome::Ended(..) | AttemptOutcome::CallerGone => {}
         }
         outcome
     }
 
-    /// Notes an attempt that broke: its endpoint may have ended under the request. One that said that it leaves
-    /// ends whatever it runs.
+    /// Reports a broken attempt, because the request may have crashed its endpoint. An endpoint that
+    /// signalled that it is leaving is left out: it ends all its requests.
     pub(crate) fn note_broken(&self, key: EndpointKey, end: AttemptEnd) {
-        let (Some((life, address)), Some(sent_at)) = (self.ran_at.clone(), self.sent_at) else {
+        let (Some((life, address)), Some(sent_at)) = (self.last_target.clone(), self.sent_at)
+        else {
             return;
         };
         let (takes_work, last_answer_at) = {
@@ -100,16 +107,17 @@
         let times = AttemptTimes { sent_at: at - ran, last_answer_at, at };
         let may_look = was_cut && takes_work.is_some();
         let broken = BrokenAttempt { life, address, times, may_look };
-        suspects::note_broken(self.node, self.print, broken);
+        suspects::note_broken(self.node, self.fingerprint, broken);
     }
 
-    fn first_wait(&self, choice: &PlacementChoice) -> FirstWait {
+    fn expected_wait(&self, choice: &PlacementChoice) -> AnswerWait {
         let read_per_ms = self.node.read_per_ms(&self.service);
         let expected = expected_first_byte(choice, self.is_engine(), read_per_ms);
-        FirstWait { expected, objective: self.route().objective }
+        AnswerWait { expected, objective: self.route().objective }
     }
 
-    /// Counts what the request asks of its service, of which `unread` tokens of its prompt have to be read.
+    /// Adds the request to the demand of its service; `unread` is the number of prompt tokens that have to be
+    /// prefilled.
     pub(crate) fn note_demand(&self, unread: u64) {
         let first = self.record.sent() == 0;
         let answer = self.call.tokens.map_or(0, |tokens| tokens.answer);
@@ -121,13 +129,13 @@
         });
     }
 
-    /// Notes that the request began to run at its endpoint `ago`; once, however often it is sent.
+    /// Counts the request, which started at its endpoint `ago`, as usage; once, however often it is sent.
     ///
-    /// Failures that an endpoint made itself count, and so do answers that were lost on the way: it has done
-    /// the work. Without these, usage was told 8 to 15 in 100 too low while all endpoints failed half of
-    /// their requests, or lost a quarter of their answers.
-    pub fn note_began(&mut self, ago: Duration) {
-        if std::mem::replace(&mut self.has_begun, true) {
+    /// Requests that failed at the endpoint count, and so do requests whose answers were lost in transit: the
+    /// endpoint has done the work. Without them, reported usage was 8 to 15 % too low while all endpoints
+    /// failed half of their requests or lost a quarter of their answers.
+    pub fn record_usage(&mut self, ago: Duration) {
+        if std::mem::replace(&mut self.usage_recorded, true) {
             return;
         }
         if let Some(account) = &self.account {
@@ -135,12 +143,12 @@
         }
     }
 
-    /// Notes that the engine has read the prompt: its first event came.
+    /// Records the engine's prefill speed when the first event arrives.
     pub fn note_read(&self) {
         let (Some(choice), Some(sent_at)) = (self.chosen, self.sent_at) else { return };
         if choice.held == 0 && self.call.parts.len() > 1 {
-            // Another process may have had the engine read its shared parts: it seems quicker than
-            // it is.
+            // The engine may have cached the shared prompt parts for another process, so the sample
+            // would show it faster than it is.
             return;
         }
         let took = TimeSpan(sent_at.elapsed().as_millis() as u64);
@@ -157,7 +165,7 @@
         usable.then_some(AttemptTarget { key, life, address, version })
     }
 
-    /// Counts the attempt for its endpoint's version where roll-outs are carried out.
+    /// Counts the attempt by its endpoint's version, if this process handles roll-outs.
     fn count_version(&self, target: &AttemptTarget, outcome: &AttemptOutcome) {
         if !releases::are_served(self.node) {
             return;
@@ -170,14 +178,18 @@
         self.node.meter.count_version(&self.service.0, &target.version, end);
     }
 
-    /// Takes this process's next request of a limited endpoint; says whether there is one.
-    fn try_acquire(&self, key: EndpointKey) -> bool {
+    /// Takes one request from this process's share of the endpoint's rate limit; returns whether there was one.
+    fn spend_endpoint_limit(&self, key: EndpointKey) -> bool {
         let now = self.node.clock.lease_now();
         let mut board = self.node.endpoints.borrow_mut();
         board.get_mut(key).is_some_and(|fact| fact.declared.try_acquire(now))
     }
 
-    async fn attempt_at(&mut self, target: &AttemptTarget, work: &mut WorkGuard) -> AttemptOutcome {
+    async fn send_and_read(
+        &mut self,
+        target: &AttemptTarget,
+        work: &mut WorkGuard,
+    ) -> AttemptOutcome {
         let (mut sent, reused) = match self.send(target).await {
             Ok(sent) => sent,
             Err(fault) => {
@@ -186,17 +198,17 @@
                 return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
             }
         };
-        let limit = self.first_limit();
+        let limit = self.first_chunk_deadline();
         let sent_at = Instant::now();
         self.sent_at = Some(sent_at);
-        match self.read_own_head(target.key, &mut sent, limit).await {
+        match self.read_matching_head(target.key, &mut sent, limit).await {
             Ok((sent, head, mark)) => {
-                self.node.meter.count_unread(work.unread_tokens());
+                self.node.meter.count_unread_tokens(work.unread_tokens());
                 let begins_later = mark.is_success() && self.route().shape == AnswerShape::Events;
                 if !mark.not_run && !begins_later {
-                    self.note_began(sent_at.elapsed());
+                    self.record_usage(sent_at.elapsed());
                 }
-                self.take_answer(target, work, sent, (head, mark)).await
+                self.handle_answer(target, work, sent, (head, mark)).await
             }
             Err(fault) => {
                 let may_have_sent = sent.is_none_or(|sent| sent.may_have_sent());
@@ -205,21 +217,21 @@
                     LinkError::TimedOut(_) => AttemptEnd::TimedOut,
                     _ => AttemptEnd::Broken,
                 };
-                // A kept connection that ends at once was most likely closed for its age.
+                // A pooled connection that fails at once was most likely closed by its idle timeout.
                 if !reused || end == AttemptEnd::TimedOut {
                     self.note_fault(target, work, &fault);
                 }
                 if reused && end == AttemptEnd::TimedOut {
-                    // Kept connections fall silent together, when what lies between forgets them.
+                    // Pooled connections go silent together when a device on the path drops its state.
                     self.node.pool.borrow_mut().clear();
                 }
                 if end != AttemptEnd::NotSent || !reused {
                     self.tried.push(target.key);
                 }
-                let closed_for_age = reused && sent_at.elapsed() < CLOSING_RACE;
+                let closed_for_age = reused && sent_at.elapsed() < STALE_LINK_WINDOW;
                 if end == AttemptEnd::Broken && !closed_for_age {
-                    // The endpoint had the request and closed: its answer is lost, not its work.
-                    self.note_began(sent_at.elapsed());
+                    // The endpoint received the request before it closed: it may have done the work.
+                    self.record_usage(sent_at.elapsed());
                 }
                 AttemptOutcome::Ended(end, None)
             }
@@ -234,7 +246,9 @@
         let reused = kept.is_some();
         let link = match kept {
             Some(link) => link,
-            None => IdleLink::open(target.address, CONNECT_LIMIT, SocketBounds::default()).await?,
+            None => {
+                IdleLink::open(target.address, CONNECT_TIMEOUT, SocketBounds::default()).await?
+            }
         };
         let head = self.request_head(target);
         let sent = link.send(&self.node.http, head, self.body.clone())?;
@@ -254,7 +268,7 @@
         let stamp = AttemptHeaders {
             instance: target.life.instance.clone(),
             account: self.account.clone(),
-            left: self.left(),
+            left: self.time_left(),
             last_event: self.last_event,
             rank: self.is_engine().then_some(self.rank),
         };
@@ -262,48 +276,48 @@
         head
     }
 
-    fn left(&self) -> TimeSpan {
+    fn time_left(&self) -> TimeSpan {
         let left = self.deadline.saturating_duration_since(Instant::now());
         TimeSpan(left.as_millis() as u64)
     }
 
-    /// Until when an endpoint may be silent before its answer begins.
+    /// When an attempt is given up if its answer has not begun.
     ///
-    /// Where another attempt is allowed, an endpoint that hangs is given up after a few times the
-    /// objective: late for this caller, but in time to be served. Where none is, waiting costs
-    /// nothing and the answer may still come.
-    pub fn first_limit(&self) -> Instant {
-        /// Times the objective; a queue of that length is no sign of a dead endpoint yet.
-        const PATIENCE: u32 = 3;
+    /// If a retry is allowed, an endpoint that hangs is given up after a few times the latency objective:
+    /// the answer is late, but there is time for another attempt. On the last attempt it waits until the
+    /// deadline, because the answer may still arrive.
+    pub fn first_chunk_deadline(&self) -> Instant {
+        /// Multiple of the latency objective; up to this, the delay can be caused by a queue at the endpoint.
+        const OBJECTIVES_WAITED: u32 = 3;
         let route = self.route();
         let last = self.record.sent() + 1 >= route.max_attempts;
         if last || route.repeat == RepeatRule::Once {
             return self.deadline;
         }
-        self.deadline.min(Instant::now() + route.objective.duration() * PATIENCE)
+        self.deadline.min(Instant::now() + route.objective.duration() * OBJECTIVES_WAITED)
     }
 
-    /// Reads heads until one belongs to this request. `slot` is empty after an error that used the
-    /// link up.
-    async fn read_own_head(
+    /// Reads response heads until one belongs to this request. `slot` is empty after an error on a
+    /// connection that cannot be used further.
+    async fn read_matching_head(
         &mut self,
         key: EndpointKey,
         slot: &mut Option<SentLink>,
         limit: Instant,
     ) -> oleander_outlet::Result<(SentLink, ResponseHead, AnswerHead)> {
-        /// Foreign answers that are read away; an endpoint that sends more is broken.
-        const MOST_FOREIGN: u32 = 2;
+        /// Answers to other requests that are discarded; an endpoint that sends more is broken.
+        const MAX_FOREIGN: u32 = 2;
         let began = Instant::now();
         let asked_at = self.node.clock.now();
         let late = |_| LinkError::TimedOut(began.elapsed());
-        let spent = || LinkError::Malformed("answers to other requests".to_owned());
+        let exhausted = || LinkError::Malformed("answers to other requests".to_owned());
         let ended = || LinkError::Interrupted(io::ErrorKind::ConnectionReset.into());
-        for _ in 0..=MOST_FOREIGN {
-            let sent = slot.as_mut().ok_or_else(spent)?;
+        for _ in 0..=MAX_FOREIGN {
+            let sent = slot.as_mut().ok_or_else(exhausted)?;
             let reading = self.node.while_lives(key, sent.read_head());
             let head = timeout_at(limit, reading).await.map_err(late)?.ok_or_else(ended)??;
-            let mark = self.node.dialect.read_answer(&head);
-            let sent = slot.take().ok_or_else(spent)?;
+            let mark = self.node.dialect.parse_answer(&head);
+            let sent = slot.take().ok_or_else(exhausted)?;
             words::hear(self.node, (key, &mark), (&self.call.id, asked_at));
             if mark.belongs_to(&self.call.id) {
                 return Ok((sent, head, mark));
@@ -316,10 +330,10 @@
             timeout_at(limit, reading).await.map_err(late)??;
             *slot = foreign.await_next_answer(&self.node.http);
         }
-        Err(spent())
+        Err(exhausted())
     }
 
-    async fn take_answer(
+    async fn handle_answer(
         &mut self,
         target: &AttemptTarget,
         work: &mut WorkGuard,
@@ -335,17 +349,17 @@
         let asks_for_rest = matches!(mark.backoff, EndpointSignal::Present(_));
         let body = sent.into_body(&head);
         let (outcome, link) = if events {
-            stream::pass_events(self, body, head, work).await
+            stream::forward_events(self, body, head, work).await
         } else {
-            whole::pass_whole(self, body, head, &mark, target.key).await
+            whole::forward_whole(self, body, head, &mark, target.key).await
         };
         match &outcome {
             AttemptOutcome::Delivered => {
                 self.grade(target.key, AnswerGrade::Good);
-                work.answered();
+                work.note_answered();
             }
             AttemptOutcome::CallerGone => {}
-            // It is sound, and says when it takes requests again.
+            // The endpoint is healthy; it has signalled a backoff and says when it accepts requests again.
             AttemptOutcome::Ended(AttemptEnd::RefusedNotRun, _) if asks_for_rest => {
                 self.tried.push(target.key);
             }
@@ -354,20 +368,20 @@
                 self.note_failure(target, work, AnswerGrade::Bad);
             }
         }
-        // A connection to a life that has ended since is of no use to the next one.
+        // A connection to an incarnation that has ended is of no use to the next one.
         let lives = self.node.endpoints.borrow().get(target.key).is_some();
         if let Some(link) = link.filter(|_| lives) {
-            let declared = mark.keep_alive.map(|span| span.duration().mul_f64(IDLE_PART));
-            let keep = declared.unwrap_or(IDLE_KEPT);
-            self.node.pool.borrow_mut().put(&target.life.instance, link, keep, IDLE_MOST);
+            let declared = mark.keep_alive.map(|span| span.duration().mul_f64(IDLE_FRACTION));
+            let keep = declared.unwrap_or(IDLE_TIMEOUT);
+            self.node.pool.borrow_mut().put(&target.life.instance, link, keep, MAX_IDLE_LINKS);
         }
         outcome
     }
 
-    /// Notes a failure of the endpoint, for this process and for all.
+    /// Records a failure of the endpoint locally and in the evidence that is shared with other processes.
     fn note_failure(&self, target: &AttemptTarget, work: &mut WorkGuard, grade: AnswerGrade) {
         self.grade(target.key, grade);
-        work.failed();
+        work.note_failed();
     }
 
     fn note_fault(&self, target: &AttemptTarget, work: &mut WorkGuard, fault: &LinkError) {
--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -1,12 +1,12 @@
-//! One request: admitted, placed, sent, perhaps sent again, answered.
+//! Serves one request: checks it, chooses an endpoint, sends it, retries it if allowed, and answers it.
 //!
-//! The decisions are in `call` and `place`; here connections are opened, and their ends are turned
-//! into [`AttemptEnd`]s.
+//! The decisions are made by the crates `call` and `place`. This module does the I/O and reports the
+//! result of each attempt to them as an [`AttemptEnd`].
 
 use crate::answer::{AnswerStage, AnswerWriter};
 use crate::events::event;
 use crate::ingress::CallerRequest;
-use crate::limits::{self, Payment};
+use crate::limits::{self, QuotaCharge};
 use crate::node::FrontNode;
 use crate::releases::TriedPayment;
 use crate::suspects;
@@ -31,53 +31,53 @@
 use std::rc::Rc;
 use tokio::time::{Instant, timeout_at};
 
-/// When a caller that was refused for want of an endpoint may come back: a lost endpoint is replaced
-/// or found again within about this time.
-const RETURN_TIME: TimeSpan = TimeSpan(300);
+/// Retry-After time if no endpoint is available: a lost endpoint is replaced or found again within
+/// about this time.
+const NO_ENDPOINT_RETRY: TimeSpan = TimeSpan(300);
 
-/// When a caller that met a stopping process may come back: its next connection goes elsewhere.
-const LEAVING_RETURN: TimeSpan = TimeSpan(20);
+/// Retry-After time while this process drains: the caller's next connection reaches another process.
+const DRAINING_RETRY: TimeSpan = TimeSpan(20);
 
-/// How the request is seen by its caller: an error means that the connection must be closed.
+/// Result of serving a request; an error means that the connection to the caller must be closed.
 pub type CallOutcome = io::Result<()>;
 
 /// How one attempt ended.
 pub enum AttemptOutcome {
-    /// The caller has its whole answer.
+    /// The complete answer was written to the caller.
     Delivered,
-    /// The caller is gone, or its answer was cut for good.
+    /// The caller disconnected, so that its answer could not be written.
     CallerGone,
-    /// Another attempt may follow; with the endpoint's own answer, if it made one.
-    Ended(AttemptEnd, Option<OwnAnswer>),
+    /// The attempt failed and may be retried; with the endpoint's answer, if it sent a complete one.
+    Ended(AttemptEnd, Option<EndpointAnswer>),
 }
 
-/// A whole answer that an endpoint made, held back while another attempt is weighed.
-pub struct OwnAnswer {
-    /// Status.
+/// Complete answer of an endpoint, kept back until it is decided whether the request is retried.
+pub struct EndpointAnswer {
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers, for the caller.
+    /// Headers to pass on to the caller.
     pub headers: HeaderMap,
-    /// Body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// One request under way.
-pub struct CallRun<'a, 'b> {
-    /// The process.
+/// State of one request while it is served.
+pub struct CallContext<'a, 'b> {
+    /// The front process that serves it.
     pub node: &'a Rc<FrontNode>,
-    /// The caller's side.
+    /// Writes the answer to the caller.
     pub answer: &'a mut AnswerWriter<'b>,
-    /// The request in the engine's terms.
+    /// The parsed request head.
     pub call: CallHead,
-    /// What each attempt takes of its account's limit.
-    pub(crate) payment: Option<Payment>,
-    /// What tells that it is the same as another.
-    pub print: RequestFingerprint,
-    /// What it paid to go to the version under the order of a roll-out; none if it goes to those that serve.
-    pub(crate) trial: Option<TriedPayment>,
-    /// When it must be answered.
+    /// Tokens that each attempt takes from the account's rate limit; none if it has no limit.
+    pub(crate) charge: Option<QuotaCharge>,
+    /// Fingerprint of the content, by which a repeated request is recognized.
+    pub fingerprint: RequestFingerprint,
+    /// Charge for an attempt on the version that is being rolled out; none if it goes to a version in service.
+    pub(crate) rollout_payment: Option<TriedPayment>,
+    /// When the request times out.
     pub deadline: Instant,
-    /// The last event that its caller has.
+    /// ID of the last stream event that the caller has received.
     pub last_event: Option<u64>,
     pub(crate) rules: Rc<RuleSet>,
     pub(crate) route: RouteKey,
@@ -89,27 +89,27 @@
     pub(crate) record: AttemptRecord,
     pub(crate) tried: Vec<EndpointKey>,
     pub(crate) current: Option<EndpointKey>,
-    /// The endpoint of the last attempt.
+    /// Endpoint of the last attempt.
     pub(crate) endpoint: Option<InstanceId>,
-    /// Its life, and where it listens.
-    pub(crate) ran_at: Option<(EndpointIncarnation, SocketAddr)>,
-    /// What the last choice of an endpoint went by.
+    /// Incarnation and address of the endpoint of the last attempt.
+    pub(crate) last_target: Option<(EndpointIncarnation, SocketAddr)>,
+    /// The last choice of an endpoint, with the figures it was based on.
     pub(crate) chosen: Option<PlacementChoice>,
-    /// How old the endpoint list was then.
+    /// Age of the endpoint list at that choice.
     pub(crate) list_age: Option<TimeSpan>,
-    /// Whether it is known to have begun to run.
-    pub(crate) has_begun: bool,
-    /// When the request was last sent.
+    /// Whether the request was counted as usage: it is known to have started at an endpoint.
+    pub(crate) usage_recorded: bool,
+    /// When the last attempt was sent.
     pub(crate) sent_at: Option<Instant>,
-    /// When the first part of an answer reached this process.
-    pub(crate) first_at: Option<Instant>,
-    /// When the last piece of a stream reached this process.
-    pub(crate) piece_at: Option<Instant>,
-    /// The longest pause between two pieces.
-    pub(crate) pause: Option<TimeSpan>,
+    /// When the first part of the answer was received.
+    pub(crate) first_chunk_at: Option<Instant>,
+    /// When the last chunk of the stream was received.
+    pub(crate) last_chunk_at: Option<Instant>,
+    /// Longest pause between two chunks of the stream.
+    pub(crate) longest_pause: Option<TimeSpan>,
 }
 
-/// Answers one request, and tells of it.
+/// Serves one request and writes its log line.
 ///
 /// # Errors
 /// If the connection to the caller must be closed.
@@ -120,7 +120,7 @@
 ) -> CallOutcome {
     let mut trace = TraceGuard::new(node);
     let outcome = answer_call(node, request, answer, &mut trace.trace).await;
-    trace.tell(answer, &outcome);
+    trace.finish(answer, &outcome);
     outcome
 }
 
@@ -131,7 +131,7 @@
     trace: &mut CallTrace,
 ) -> CallOutcome {
     let arrived = trace.arrived;
-    let call = match node.dialect.read_call(&request.head) {
+    let call = match node.dialect.parse_request(&request.head) {
         Ok(call) => call,
         Err(code) => return answer.refuse(code, None).await,
     };
@@ -142,45 +142,45 @@
     trace.fresh = view.fresh;
     let admitted = match admit_call(view, &call) {
         Ok(admitted) => admitted,
-        Err(code) => return answer.refuse(code, return_time(code)).await,
+        Err(code) => return answer.refuse(code, retry_after(code)).await,
     };
     let Some(rules) = rules else {
-        return answer.refuse(ResultCode::NoBundle, Some(RETURN_TIME)).await;
+        return answer.refuse(ResultCode::NoBundle, Some(NO_ENDPOINT_RETRY)).await;
     };
     let route = rules.route(admitted.route);
     if node.stop.get() == StopStage::Draining {
-        // It would outlast the process. The balancer sends the next connection elsewhere.
+        // The request could outlast the process. The load balancer sends the next connection to another one.
         answer.close_after();
-        return answer.refuse(ResultCode::Draining, Some(LEAVING_RETURN)).await;
+        return answer.refuse(ResultCode::Draining, Some(DRAINING_RETRY)).await;
     }
     let Some(service) = route.service_for(call_salt(&call)).cloned() else {
-        return answer.refuse(ResultCode::NoEndpoint, Some(RETURN_TIME)).await;
+        return answer.refuse(ResultCode::NoEndpoint, Some(NO_ENDPOINT_RETRY)).await;
     };
     trace.service = service.0.clone();
     let account = admitted.account.map(|key| rules.account(key));
-    let print = print_of(account, &call, &request);
-    trace.print = Some(print);
-    if let Some(left) = suspects::held_for(node, &print) {
+    let fingerprint = request_fingerprint(account, &call, &request);
+    trace.fingerprint = Some(fingerprint);
+    if let Some(left) = suspects::held_for(node, &fingerprint) {
         return answer.refuse(ResultCode::RequestHeld, Some(left)).await;
     }
-    let payment = account.and_then(|account| Payment::of(node, account, &call));
-    if let Some(payment) = &payment
-        && let Err(retry) = limits::pay(node, payment, call.id.as_str()).await
+    let charge = account.and_then(|account| QuotaCharge::of(node, account, &call));
+    if let Some(charge) = &charge
+        && let Err(retry) = limits::charge_quota(node, charge, call.id.as_str()).await
     {
         return answer.refuse(ResultCode::LimitReached, Some(retry)).await;
     }
     let max_wait = call.max_wait.unwrap_or(route.timeout).min(route.timeout);
     node.dialect.strip_request(&mut request.head.headers);
     node.earn_retry(&service);
-    let mut run = CallRun {
+    let mut context = CallContext {
         node,
         answer,
         deadline: arrived + max_wait.duration(),
         last_event: call.last_event,
         call,
-        payment,
-        trial: None,
-        print,
+        charge,
+        rollout_payment: None,
+        fingerprint,
         rank: account.and_then(|account| account.rank).unwrap_or(route.rank),
         account: account.map(|account| account.name.clone()),
         record: AttemptRecord::new(route.repeat, route.max_attempts),
@@ -192,25 +192,25 @@
         tried: Vec::new(),
         current: None,
         endpoint: None,
-        ran_at: None,
+        last_target: None,
         chosen: None,
         list_age: None,
-        has_begun: false,
+        usage_recorded: false,
         sent_at: None,
-        first_at: None,
-        piece_at: None,
-        pause: None,
+        first_chunk_at: None,
+        last_chunk_at: None,
+        longest_pause: None,
     };
-    let outcome = match timeout_at(run.deadline, run.run()).await {
+    let outcome = match timeout_at(context.deadline, context.serve()).await {
         Ok(outcome) => outcome,
-        Err(_) => run.expire().await,
+        Err(_) => context.expire().await,
     };
-    run.give_back();
-    run.note_trace(trace);
+    context.refund_unused();
+    context.note_trace(trace);
     outcome
 }
 
-fn print_of(
+fn request_fingerprint(
     account: Option<&AccountRule>,
     call: &CallHead,
     request: &CallerRequest,
@@ -225,50 +225,51 @@
     })
 }
 
-/// When a refused caller may come back; none for refusals that are final.
-fn return_time(code: ResultCode) -> Option<TimeSpan> {
-    (code.status() == StatusCode::SERVICE_UNAVAILABLE.as_u16()).then_some(RETURN_TIME)
+/// Retry-After time for a refusal; none if a retry cannot succeed.
+fn retry_after(code: ResultCode) -> Option<TimeSpan> {
+    (code.status() == StatusCode::SERVICE_UNAVAILABLE.as_u16()).then_some(NO_ENDPOINT_RETRY)
 }
 
+/// Hash of the request id, used to spread choices and retry times over requests.
 pub(crate) fn call_salt(call: &CallHead) -> u64 {
     mix_bits(stable_hash(HASH_START, call.id.as_bytes()))
 }
 
-impl CallRun<'_, '_> {
-    /// The request's route.
+impl CallContext<'_, '_> {
+    /// The route that the request matched.
     pub fn route(&self) -> &RouteRule {
         self.rules.route(self.route)
     }
 
     fn note_trace(&self, trace: &mut CallTrace) {
-        trace.sent = self.record.sent() + u32::from(self.first_at.is_some());
+        trace.sent = self.record.sent() + u32::from(self.first_chunk_at.is_some());
         trace.may_have_run = self.record.may_have_run() || self.current.is_some();
         trace.endpoint = self.endpoint.clone();
         trace.chosen = self.chosen;
         trace.list_age = self.list_age;
         trace.last_event = self.last_event;
-        trace.pause = self.pause;
+        trace.longest_pause = self.longest_pause;
         trace.first_ms =
-            self.first_at.map(|at| at.duration_since(trace.arrived).as_millis() as u64);
+            self.first_chunk_at.map(|at| at.duration_since(trace.arrived).as_millis() as u64);
     }
 
-    async fn run(&mut self) -> CallOutcome {
+    async fn serve(&mut self) -> CallOutcome {
         loop {
             let Some(choice) = self.choose_lane().await else {
                 return self.refuse_unplaced().await;
             };
-            if let Some(back_in) = self.overloaded(&choice) {
-                // What is refused is needed all the same: more endpoints are ordered for it.
+            if let Some(retry_in) = self.overload_retry_after(&choice) {
+                // A refused request counts as demand too, so that more endpoints are ordered for it.
                 self.note_demand(choice.unread);
                 self.chosen = Some(choice);
-                return self.answer.refuse(ResultCode::Overloaded, Some(back_in)).await;
+                return self.answer.refuse(ResultCode::Overloaded, Some(retry_in)).await;
             }
             match self.attempt(choice).await {
                 AttemptOutcome::Delivered => return Ok(()),
                 AttemptOutcome::CallerGone => return Err(io::ErrorKind::ConnectionAborted.into()),
-                AttemptOutcome::Ended(end, own) => {
+                AttemptOutcome::Ended(end, received) => {
                     self.leave_lane(end);
-                    if let Some(outcome) = self.after(end, own).await {
+                    if let Some(outcome) = self.decide_next(end, received).await {
                         return outcome;
                     }
                 }
@@ -276,45 +277,52 @@
         }
     }
 
-    /// Pays for another attempt after one that may have run: operators count the tokens of each that runs.
-    async fn pay_again(&self, end: AttemptEnd) -> bool {
-        match &self.payment {
-            Some(payment) if end.may_have_run() => {
-                limits::pay_again(self.node, payment, self.call.id.as_str()).await
+    /// Charges the account for a retry if the failed attempt may have run: the tokens of each attempt that
+    /// runs count against the limit.
+    async fn charge_retry(&self, end: AttemptEnd) -> bool {
+        match &self.charge {
+            Some(charge) if end.may_have_run() => {
+                limits::charge_retry(self.node, charge, self.call.id.as_str()).await
             }
             _ => true,
         }
     }
 
-    /// Gives back what was paid for a request that certainly did not run.
-    fn give_back(&self) {
-        let is_answered = self.first_at.is_some();
+    /// Refunds the charge of a request that certainly did not run.
+    fn refund_unused(&self) {
+        let is_answered = self.first_chunk_at.is_some();
         let has_run = is_answered || self.record.may_have_run() || self.current.is_some();
-        if let Some(payment) = self.payment.as_ref().filter(|_| !has_run) {
-            limits::give_back(self.node, payment);
+        if let Some(charge) = self.charge.as_ref().filter(|_| !has_run) {
+            limits::refund_quota(self.node, charge);
         }
     }
 
-    /// Judges an attempt that ended; an outcome if the request is over.
-    async fn after(&mut self, end: AttemptEnd, own: Option<OwnAnswer>) -> Option<CallOutcome> {
+    /// Decides what follows a failed attempt: none to retry, or the outcome of the finished request.
+    async fn decide_next(
+        &mut self,
+        end: AttemptEnd,
+        received: Option<EndpointAnswer>,
+    ) -> Option<CallOutcome> {
         self.record.note(end);
         let again = self.record.may_send()
-            && suspects::held_for(self.node, &self.print).is_none()
+            && suspects::held_for(self.node, &self.fingerprint).is_none()
             && self.choose().is_some()
             && (self.record.sent() == 0 || self.node.spend_retry(&self.service))
-            && self.pay_again(end).await;
+            && self.charge_retry(end).await;
         self.node.meter.count_attempt(end.name());
         event!(self.node, AttemptEnded;
             "request" => self.call.id.as_str(),
             "endpoint" => self.endpoint.as_ref().map(|id| id.as_str()),
             "end" => end.name(), "sent" => self.record.sent(), "last_event" => self.last_event,
-            "print" => self.print.to_string(),
+            "print" => self.fingerprint.to_string(),
             "ran_ms" => self.sent_at.map(|at| at.elapsed().as_millis() as u64),
             "again" => again, "list_ms" => self.list_age.map(|age| age.0));
-        match (self.record.next_step(end, again), own) {
+        match (self.record.next_step(end, again), received) {
             (NextStep::Retry, _) => None,
-            (NextStep::Forward, Some(own)) if self.answer.stage() == AnswerStage::Waiting => {
-                Some(self.answer.whole(own.status, own.headers, own.body).await)
+            (NextStep::Forward, Some(received)) if self.answer.stage() == AnswerStage::Waiting => {
+                Some(
+                    self.answer.write_whole(received.status, received.headers, received.body).await,
+                )
             }
             (NextStep::Forward, _) => Some(self.give_up(ResultCode::Uncertain).await),
             (NextStep::GiveUp(ResultCode::NoEndpoint), _) => Some(self.refuse_unplaced().await),
@@ -322,25 +330,25 @@
         }
     }
 
-    /// Ends the request without an answer of an endpoint.
+    /// Ends the request with a refusal, or by closing the connection if the answer has begun.
     pub(crate) async fn give_up(&mut self, code: ResultCode) -> CallOutcome {
         if self.answer.stage() != AnswerStage::Waiting {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        // Nothing of a request that may be repeated is lost by asking again.
+        // An attempt may have run, so a code that says "not run" would be false.
         let code = if self.record.may_have_run() && code.says_not_run() {
             ResultCode::Uncertain
         } else {
             code
         };
-        self.answer.refuse(code, return_time(code)).await
+        self.answer.refuse(code, retry_after(code)).await
     }
 
-    /// The deadline passed.
+    /// Ends the request because its deadline has passed.
     async fn expire(&mut self) -> CallOutcome {
         if let Some(key) = self.current {
             self.grade(key, AnswerGrade::Bad);
-            if self.piece_at.is_none() {
+            if self.last_chunk_at.is_none() {
                 self.note_broken(key, AttemptEnd::TimedOut);
             }
         }
@@ -365,7 +373,7 @@
             domain: &self.node.settings.domain,
             queue_limit: self.queue_limit(),
             read_per_ms: self.node.read_per_ms(&self.service),
-            is_trial: self.trial.is_some(),
+            is_trial: self.rollout_payment.is_some(),
             pause: self.route().pause,
             pause_weight: self.node.pause_weight(&self.service),
             repeatable: self.route().repeat.may_run_again(),
@@ -375,11 +383,11 @@
         }
     }
 
-    /// Notes how old the list was that an endpoint was chosen from.
+    /// Records the age of the endpoint list at the choice of an endpoint.
     pub(crate) fn note_list_age(&mut self) {
         self.list_age = self.node.roster_age();
         if let Some(age) = self.list_age {
-            self.node.meter.note_list_age(age.0 as f64);
+            self.node.meter.record_list_age(age.0 as f64);
         }
     }
 
@@ -387,9 +395,9 @@
         queue_limit(self.route().objective, self.rank, self.node.read_per_ms(&self.service))
     }
 
-    /// When the caller should come back if the service is overloaded. A stream that its caller has a
-    /// part of is gone on with in any case: the part would be lost.
-    fn overloaded(&self, choice: &PlacementChoice) -> Option<TimeSpan> {
+    /// The Retry-After time if the service is overloaded. A stream of which the caller has received a
+    /// part is always resumed, because that part would be lost otherwise.
+    fn overload_retry_after(&self, choice: &PlacementChoice) -> Option<TimeSpan> {
         let fresh = self.record.sent() == 0 && self.last_event.is_none();
         if !fresh || !self.is_engine() {
             return None;
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -1,4 +1,5 @@
-//! Control work: kept under one lease by the process that collects.
+//! Control work: ordering endpoints, reporting usage and executing roll-outs. The collector does it while it holds
+//! one lease, so that only one process does it at a time.
 
 mod orders;
 mod usage;
@@ -19,52 +20,50 @@
 use std::rc::Rc;
 use usage::report_usage;
 
-/// The object that holds the lease of the control work.
+/// Name of the store object that holds the lease for control work.
 const LEASE_NAME: &str = "control";
-/// Between two looks at what is to be done.
+/// Interval between two checks for control work to do.
 const DUTY_PERIOD: TimeSpan = TimeSpan(200);
-/// Lease time that must be left when a call is sent to a platform that checks its fencing token: this
-/// only keeps calls that are sure to be refused from being made.
+/// Lease time that must be left when a call is sent to a platform that checks fencing tokens. It only avoids
+/// calls that are certain to be refused.
 const CALL_MARGIN: TimeSpan = TimeSpan(100);
-/// The same for a platform that does not check. The call takes effect whenever it arrives, and a lost
-/// packet is sent again after up to a second; by then nobody else may hold the lease. At most a third of
-/// the lease: it is renewed after as long, so that this much is left also after a renewal that failed.
-const UNCHECKED_MARGIN: TimeSpan = TimeSpan(1000);
-/// A process that began a moment ago does not know the others yet, and would take the lease from
-/// nobody's hands only to lose the collecting to another.
+/// Lease time that must be left for a platform that does not check fencing tokens. There a call takes effect
+/// whenever it arrives, and a lost packet is retransmitted after up to a second; no other process may hold the
+/// lease by then. At most a third of the lease time: the lease is renewed after a third, so that this much is
+/// left even after a failed renewal.
+const UNFENCED_MARGIN: TimeSpan = TimeSpan(1000);
+/// How long a process must be the collector before it takes the lease. A process that has just started does not
+/// know the others yet; it would take a free lease and then lose the role of collector to another process.
 const SETTLE_TIME: TimeSpan = TimeSpan(600);
 
-/// The lease, shared by the tasks of the duties.
+/// The lease for control work, shared by the tasks that do this work.
 pub struct DutyLease {
     node: Rc<FrontNode>,
     keeper: RefCell<LeaseKeeper>,
 }
 
-/// How long a lease that could not be renewed because nobody reaches the store still stands. Nobody
-/// else can have taken it meanwhile, and where calls are fenced one that is sent too late is refused.
-const OVERDUE_TIME: TimeSpan = TimeSpan(10_000);
+/// How long an expired lease stays valid if no process can reach the store to renew it. No other process can have
+/// taken it meanwhile, and where calls are fenced a call that is sent too late is refused.
+const OVERDUE_LIFETIME: TimeSpan = TimeSpan(10_000);
 
 impl DutyLease {
-    /// The token of the lease, if it is held and this process collects. It says what to begin, and is
-    /// no right to call: that is looked up as a call leaves.
+    /// The fencing token of the lease, if it is held and this process is the collector. It tells whether to start
+    /// work; the right to make a call is checked again when the call is sent.
     pub(crate) fn fence(&self) -> Option<u64> {
         let now = self.node.clock.lease_now();
         let keeper = self.keeper.borrow();
-        let overdue = || keeper.overdue_fence(now, OVERDUE_TIME).filter(|_| self.stands_overdue());
+        let overdue =
+            || keeper.overdue_fence(now, OVERDUE_LIFETIME).filter(|_| self.allows_overdue());
         keeper.fence(now, self.margin()).or_else(overdue).filter(|_| collects(&self.node))
     }
 
     fn margin(&self) -> TimeSpan {
         let bounds = self.node.bounds();
-        if bounds.fenced {
-            CALL_MARGIN
-        } else {
-            UNCHECKED_MARGIN.min(TimeSpan(bounds.lease_ms / 3))
-        }
+        if bounds.fenced { CALL_MARGIN } else { UNFENCED_MARGIN.min(TimeSpan(bounds.lease_ms / 3)) }
     }
 
-    fn stands_overdue(&self) -> bool {
-        self.node.bounds().fenced && store_is_away(&self.node)
+    fn allows_overdue(&self) -> bool {
+        self.node.bounds().fenced && store_is_unreachable(&self.node)
     }
 }
 
@@ -74,15 +73,15 @@
         let now = self.node.clock.lease_now();
         let mut keeper = self.keeper.borrow_mut();
         let fence = match keeper.act(now, self.margin()) {
-            None if self.stands_overdue() => keeper.act_overdue(now, OVERDUE_TIME),
+            None if self.allows_overdue() => keeper.act_overdue(now, OVERDUE_LIFETIME),
             held => held,
         }?;
         Some(DutyStamp { holder: self.node.settings.instance.clone(), fence })
     }
 }
 
-/// Whether the store answers neither this process nor any that reports here.
-fn store_is_away(node: &FrontNode) -> bool {
+/// Whether the store is unreachable for this process and for all that report to it.
+fn store_is_unreachable(node: &FrontNode) -> bool {
     let now = node.clock.now();
     let lost = node.rules_feed.get().lost_since.is_some();
     let mesh = node.mesh.borrow();
@@ -91,8 +90,8 @@
     lost && mesh.collector.as_ref().is_some_and(|collector| !outdone(collector))
 }
 
-/// Does the control work until the task is ended.
-pub async fn do_duties(node: Rc<FrontNode>, cloud: Rc<dyn DutyPort>) {
+/// Does the control work until the task is cancelled.
+pub async fn run_duties(node: Rc<FrontNode>, cloud: Rc<dyn DutyPort>) {
     let life = node.mesh.borrow().view.me().life;
     let lasts = TimeSpan(node.bounds().lease_ms);
     let keeper = LeaseKeeper::new(node.settings.instance.clone(), life, lasts);
@@ -111,7 +110,7 @@
     }
 }
 
-/// Whether this process collects, and has for long enough to know the others.
+/// Whether this process is the collector and has been it for long enough to know the other processes.
 pub(crate) fn collects(node: &FrontNode) -> bool {
     let now = node.clock.now();
     let mesh = node.mesh.borrow();
@@ -128,7 +127,7 @@
     }
     let succeeded = node.mesh.borrow().is_succeeded(node.clock.now());
     if node.mesh.borrow().view.me().leaving || succeeded {
-        // The process that collects now need not wait for the end of the lease.
+        // The next collector need not wait until the lease expires.
         let action = lease.keeper.borrow_mut().release(now);
         return act_on_lease(node, lease, action).await;
     }
@@ -163,12 +162,12 @@
 async fn read_lease(node: &FrontNode) -> LeaseSaid {
     match node.store.read(FeedKind::Leases, LEASE_NAME).await {
         Ok(None) => LeaseSaid::Read(None),
-        Ok(Some(object)) => said_of(node, &object),
-        Err(fault) => not_done(node, &fault),
+        Ok(Some(object)) => decode_lease(node, &object),
+        Err(fault) => note_call_failure(node, &fault),
     }
 }
 
-fn said_of(node: &FrontNode, object: &FeedObject) -> LeaseSaid {
+fn decode_lease(node: &FrontNode, object: &FeedObject) -> LeaseSaid {
     match serde_json::from_slice::<LeaseRecord>(&object.body) {
         Ok(record) => LeaseSaid::Read(Some((object.revision, record))),
         Err(fault) => {
@@ -178,7 +177,7 @@
     }
 }
 
-fn not_done(node: &FrontNode, fault: &PlatError) -> LeaseSaid {
+fn note_call_failure(node: &FrontNode, fault: &PlatError) -> LeaseSaid {
     event!(node, LeaseFault; "fault" => fault.to_string());
     if fault.may_have_happened() { LeaseSaid::Unknown } else { LeaseSaid::NotDone }
 }
@@ -192,11 +191,11 @@
             event!(node, LeaseFault; "fault" => "another wrote it meanwhile");
             LeaseSaid::Changed
         }
-        Err(fault) => not_done(node, &fault),
+        Err(fault) => note_call_failure(node, &fault),
     }
 }
 
-/// Encodes an object of ours for the store.
+/// Encodes a value as JSON for the store; an error is logged.
 pub(crate) fn encode(node: &FrontNode, value: &impl Serialize) -> Option<Bytes> {
     match serde_json::to_vec(value) {
         Ok(text) => Some(Bytes::from(text)),
--- a/crates/front/src/ingress.rs
+++ b/crates/front/src/ingress.rs
@@ -1,8 +1,8 @@
-//! Callers' connections: reads requests within the operators' bounds, and notices a caller that
-//! leaves while its answer is made.
+//! Accepts callers' HTTP connections, reads requests within the configured size and time limits, and
+//! cancels a request whose caller disconnects.
 //!
-//! The library's own connection loop takes its bounds when it is built; here they change with the
-//! rules in force. So the loop is ours and the codec is the library's.
+//! The connection loop of `actix_http` fixes its limits when it is built. Here the limits change with
+//! the rules in force, so this module has its own loop and uses only the codec of `actix_http`.
 
 use crate::answer::AnswerWriter;
 use crate::drive::serve_call;
@@ -26,33 +26,33 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes read at once.
+/// Bytes reserved for one read.
 const READ_SIZE: usize = 4096;
-/// Bytes of following requests that are read while one is answered; more wait in the socket.
-const AHEAD_LIMIT: usize = 64 << 10;
-/// How long bytes of a refused request are still read, so that its caller sees the refusal instead
-/// of a reset.
+/// Most bytes of pipelined requests that are buffered while one is answered; the rest stays in the socket.
+const PIPELINE_LIMIT: usize = 64 << 10;
+/// How long the rest of a refused request is read and discarded, so that its caller sees the refusal
+/// instead of a connection reset.
 const LINGER_TIME: Duration = Duration::from_millis(500);
-/// How many of them.
+/// Most bytes of a refused request that are read and discarded.
 const LINGER_BYTES: usize = 1 << 20;
 
-/// A request as it was read.
+/// A caller's request, read completely.
 pub struct CallerRequest {
-    /// Its head.
+    /// Request line and headers.
     pub head: RequestHead,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Accepts callers until the task is ended.
+/// Accepts connections of callers until the task is cancelled.
 pub async fn accept_callers(node: Rc<FrontNode>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                actix_rt::spawn(serve_caller(node.clone(), stream));
+                actix_rt::spawn(serve_connection(node.clone(), stream));
             }
             Err(fault) => {
-                // Out of descriptors, most likely; those in use are given back within moments.
+                // Most likely the process is out of file descriptors; connections that close release some soon.
                 event!(node, CallerFault; "fault" => fault.to_string());
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
             }
@@ -62,11 +62,11 @@
 
 enum HeadOutcome {
     Read(Request),
-    Ended,
+    Closed,
     Refused(ResultCode),
 }
 
-async fn serve_caller(node: Rc<FrontNode>, mut stream: TcpStream) {
+async fn serve_connection(node: Rc<FrontNode>, mut stream: TcpStream) {
     if let Err(fault) = configure_socket(&stream, SocketBounds::default()) {
         event!(node, CallerFault; "fault" => fault.to_string());
     }
@@ -77,7 +77,7 @@
         let outcome = read_head(&node, &mut stream, &mut codec, &mut buffer, bounds).await;
         let request = match outcome {
             HeadOutcome::Read(request) => request,
-            HeadOutcome::Ended => return,
+            HeadOutcome::Closed => return,
             HeadOutcome::Refused(code) => return refuse_and_close(stream, &mut codec, code).await,
         };
         let body = read_body(&mut stream, &mut codec, &mut buffer, &request, bounds).await;
@@ -96,7 +96,7 @@
     node.rules.borrow().current().map_or_else(CallerBounds::default, |rules| rules.bounds())
 }
 
-/// Waits for a request and reads its head.
+/// Waits for a request and reads its head within the limits of `bounds`.
 async fn read_head(
     node: &FrontNode,
     stream: &mut TcpStream,
@@ -105,14 +105,14 @@
     bounds: CallerBounds,
 ) -> HeadOutcome {
     if buffer.is_empty() && !wait_first_byte(node, stream, buffer, bounds).await {
-        return HeadOutcome::Ended;
+        return HeadOutcome::Closed;
     }
     let until = Instant::now() + bounds.head_timeout.duration();
     loop {
-        let held = buffer.len();
+        let buffered = buffer.len();
         match codec.decode(buffer) {
             Ok(Some(Message::Item(request))) => {
-                let too_long = held - buffer.len() > bounds.head_bytes;
+                let too_long = buffered - buffer.len() > bounds.head_bytes;
                 let upgrade = codec.message_type() == MessageType::Stream;
                 return match (too_long, upgrade) {
                     (true, _) => HeadOutcome::Refused(ResultCode::HeaderTooLarge),
@@ -121,7 +121,7 @@
                 };
             }
             Ok(Some(Message::Chunk(_))) => return HeadOutcome::Refused(ResultCode::BadHead),
-            Ok(None) if held > bounds.head_bytes => {
+            Ok(None) if buffered > bounds.head_bytes => {
                 return HeadOutcome::Refused(ResultCode::HeaderTooLarge);
             }
             Ok(None) => {}
@@ -132,15 +132,15 @@
         }
         buffer.reserve(READ_SIZE);
         match timeout_at(until, stream.read_buf(buffer)).await {
-            Ok(Ok(0)) | Ok(Err(_)) => return HeadOutcome::Ended,
+            Ok(Ok(0)) | Ok(Err(_)) => return HeadOutcome::Closed,
             Ok(Ok(_)) => {}
             Err(_) => return HeadOutcome::Refused(ResultCode::SlowHead),
         }
     }
 }
 
-/// Waits for the first byte of a request; says whether one came. An idle connection ends quietly
-/// after its time, or when the process stops.
+/// Waits for the first byte of a request; returns false if the caller closed the connection, the idle
+/// timeout passed, or the process closes idle connections because it stops.
 async fn wait_first_byte(
     node: &FrontNode,
     stream: &mut TcpStream,
@@ -156,7 +156,7 @@
     }
 }
 
-/// Reads a request's body. `Err(None)` means that the caller is gone.
+/// Reads a request's body. `Err(None)` means that the caller disconnected.
 async fn read_body(
     stream: &mut TcpStream,
     codec: &mut Codec,
@@ -168,8 +168,8 @@
         return Ok(Bytes::new());
     }
     if request.head().expect() {
-        let go_on = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        go_on.map_err(|_| None)?;
+        let written = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        written.map_err(|_| None)?;
     }
     let mut body = BytesMut::new();
     loop {
@@ -194,15 +194,15 @@
     }
 }
 
-struct FlightGuard<'a>(&'a Cell<usize>);
+struct InflightGuard<'a>(&'a Cell<usize>);
 
-impl Drop for FlightGuard<'_> {
+impl Drop for InflightGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-/// Answers one request; says whether the connection may carry another.
+/// Answers one request; returns whether the connection can be used for another.
 async fn answer_request(
     node: &Rc<FrontNode>,
     stream: &mut TcpStream,
@@ -211,7 +211,7 @@
     (mut request, body): (Request, Bytes),
 ) -> bool {
     node.in_flight.set(node.in_flight.get() + 1);
-    let _guard = FlightGuard(&node.in_flight);
+    let _guard = InflightGuard(&node.in_flight);
     let (mut reader, writer) = stream.split();
     let closes = node.stop.get() != StopStage::Serving;
     let mut answer = AnswerWriter::new(writer, codec, closes);
@@ -220,15 +220,15 @@
     tokio::select! {
         biased;
         outcome = serve_call(node, request, &mut answer) => {
-            outcome.is_ok() && answer.keeps_open()
+            outcome.is_ok() && answer.can_reuse()
         }
-        () = wait_leaving(&mut reader, buffer) => false,
+        () = wait_caller_close(&mut reader, buffer) => false,
     }
 }
 
-/// Waits until the caller closes its side. What it sends meanwhile is kept for later.
-async fn wait_leaving(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
-    while buffer.len() < AHEAD_LIMIT {
+/// Waits until the caller closes its side. Bytes that it sends meanwhile are buffered as pipelined requests.
+async fn wait_caller_close(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
+    while buffer.len() < PIPELINE_LIMIT {
         buffer.reserve(READ_SIZE);
         match reader.read_buf(buffer).await {
             Ok(0) | Err(_) => return,
@@ -238,8 +238,9 @@
     std::future::pending().await
 }
 
-/// Refuses a request that was not read to its end. What is still on its way is read for a moment:
-/// closing a connection with unread bytes resets it, and the caller would never see why.
+/// Refuses a request that was not read completely, and closes the connection. The rest of the request
+/// is read first: closing a socket with unread bytes resets the connection, and the caller would lose
+/// the refusal.
 async fn refuse_and_close(mut stream: TcpStream, codec: &mut Codec, code: ResultCode) {
     let written = {
         let (_, writer) = stream.split();
@@ -247,7 +248,7 @@
     };
     if written.is_ok() && stream.shutdown().await.is_ok() {
         let lingering = tokio::time::timeout(LINGER_TIME, discard(&mut stream));
-        // Whatever comes of it, the connection is closed.
+        // The connection is closed whether or not the rest could be read.
         let _ = lingering.await;
     }
 }
--- a/crates/front/src/kept.rs
+++ b/crates/front/src/kept.rs
@@ -1,8 +1,8 @@
-//! Objects that the collecting process keeps in the store, for processes that begin when none is left that knows.
+//! Persists shared state in the store, so that it survives a restart of all processes.
 //!
-//! All processes may be killed at once, and what they knew is gone then. The process that collects reads such an object
-//! once as it begins to collect, and writes it when what all know changes; the others hear of it by its digests.
-//! Calls grow neither with processes nor with requests.
+//! All processes may be killed at once, and their memory is lost then. The collector reads a record once when it
+//! becomes the collector, and writes it when the shared state changes; the other processes receive the state in its
+//! digests. So the number of store calls grows neither with processes nor with requests.
 
 use crate::events::event;
 use crate::node::FrontNode;
@@ -12,60 +12,60 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The first pause after a call that failed, and the longest.
-const FAULT_PAUSES: (TimeSpan, TimeSpan) = (TimeSpan(200), TimeSpan(2000));
+/// The first and the longest backoff after a failed store call.
+const FAULT_BACKOFF: (TimeSpan, TimeSpan) = (TimeSpan(200), TimeSpan(2000));
 
-/// What is kept in one object.
-pub trait KeptRecord {
-    /// What differs if the object must be written.
+/// State that is persisted as one store object.
+pub trait StoredRecord {
+    /// Identifies a content of the object; the object is written when it changes.
     type Mark: PartialEq;
 
-    /// The object's kind.
+    /// Kind of the store object.
     const KIND: FeedKind;
-    /// The object's name.
+    /// Name of the store object.
     const NAME: &'static str = "all";
-    /// Between two looks whether something is to be done.
-    const LOOK_PERIOD: TimeSpan;
+    /// Interval between two checks whether the object must be read or written.
+    const CHECK_PERIOD: TimeSpan;
 
-    /// What ends the pause between two looks early, if anything does.
+    /// Notification that triggers a check before the interval is over, if there is one.
     fn wake(_node: &FrontNode) -> Option<&Notify> {
         None
     }
 
-    /// Whether this process keeps the object.
-    fn is_kept_by(&self, node: &FrontNode) -> bool;
+    /// Whether this process reads and writes the object at present.
+    fn is_writer(&self, node: &FrontNode) -> bool;
 
-    /// Whether the object is to be read although it is known.
-    fn must_read(&self, _node: &FrontNode) -> bool {
+    /// Whether the object must be read again although its revision is known.
+    fn must_reload(&self, _node: &FrontNode) -> bool {
         false
     }
 
-    /// Takes what the object says; there may be none.
+    /// Applies the object that was read, or its absence, and identifies its content.
     fn take(&mut self, node: &FrontNode, object: Option<&FeedObject>) -> Self::Mark;
 
-    /// What the object should say; none if there is nothing to say.
+    /// The content that the object should have; none if it need not be written.
     fn current(&mut self, node: &FrontNode) -> Option<(Bytes, Self::Mark)>;
 
-    /// Notes that the store has what `current` gave last.
+    /// Called after the content that `current` returned last was written.
     fn note_written(&mut self, _node: &FrontNode) {}
 
-    /// Notes that the store did not say what the object holds.
-    fn note_unread(&mut self, _node: &FrontNode) {}
+    /// Called after a read of the object failed.
+    fn note_read_failure(&mut self, _node: &FrontNode) {}
 }
 
-/// The object as this process knows it.
-struct KnownObject<M> {
+/// Revision and content of the object as last read or written.
+struct CachedObject<M> {
     guard: FeedGuard,
     mark: M,
 }
 
-/// Keeps an object until the task is ended.
-pub async fn keep_record<R: KeptRecord>(node: Rc<FrontNode>, mut record: R) {
+/// Reads and writes the object of `record` until the task is cancelled.
+pub async fn sync_record<R: StoredRecord>(node: Rc<FrontNode>, mut record: R) {
     let mut known = None;
-    let (first, longest) = FAULT_PAUSES;
+    let (first, longest) = FAULT_BACKOFF;
     let mut pause = first;
     loop {
-        let asleep = actix_rt::time::sleep(R::LOOK_PERIOD.duration());
+        let asleep = actix_rt::time::sleep(R::CHECK_PERIOD.duration());
         match R::wake(&node) {
             Some(wake) => tokio::select! {
                 () = asleep => {}
@@ -73,11 +73,11 @@
             },
             None => asleep.await,
         }
-        if !record.is_kept_by(&node) {
+        if !record.is_writer(&node) {
             known = None;
             continue;
         }
-        let object = match known.take().filter(|_| !record.must_read(&node)) {
+        let object = match known.take().filter(|_| !record.must_reload(&node)) {
             Some(object) => Some(object),
             None => read_object(&node, &mut record).await,
         };
@@ -92,36 +92,36 @@
     }
 }
 
-/// Reads the object and takes what it says; none if the store did not answer.
-async fn read_object<R: KeptRecord>(
+/// Reads and applies the object; none if the read failed.
+async fn read_object<R: StoredRecord>(
     node: &FrontNode,
     record: &mut R,
-) -> Option<KnownObject<R::Mark>> {
+) -> Option<CachedObject<R::Mark>> {
     match node.store.read(R::KIND, R::NAME).await {
-        Ok(object) => Some(known_object(node, record, object.as_ref())),
+        Ok(object) => Some(cached_object(node, record, object.as_ref())),
         Err(fault) => {
             event!(node, RecordFault; "record" => R::KIND.name(), "fault" => fault.to_string());
-            record.note_unread(node);
+            record.note_read_failure(node);
             None
         }
     }
 }
 
-fn known_object<R: KeptRecord>(
+fn cached_object<R: StoredRecord>(
     node: &FrontNode,
     record: &mut R,
     object: Option<&FeedObject>,
-) -> KnownObject<R::Mark> {
+) -> CachedObject<R::Mark> {
     let guard = object.map_or(FeedGuard::Absent, |object| FeedGuard::Is(object.revision));
-    KnownObject { guard, mark: record.take(node, object) }
+    CachedObject { guard, mark: record.take(node, object) }
 }
 
-/// Writes the object if it should say something else; none if it must be read anew.
-async fn write_object<R: KeptRecord>(
+/// Writes the object if its content has changed; none if it must be read again.
+async fn write_object<R: StoredRecord>(
     node: &FrontNode,
     record: &mut R,
-    known: KnownObject<R::Mark>,
-) -> Option<KnownObject<R::Mark>> {
+    known: CachedObject<R::Mark>,
+) -> Option<CachedObject<R::Mark>> {
     let Some((body, mark)) = record.current(node) else { return Some(known) };
     if mark == known.mark {
         return Some(known);
@@ -129,10 +129,10 @@
     match node.store.write(R::KIND, R::NAME, known.guard, body).await {
         Ok(FeedWrite::Made(revision)) => {
             record.note_written(node);
-            Some(KnownObject { guard: FeedGuard::Is(revision), mark })
+            Some(CachedObject { guard: FeedGuard::Is(revision), mark })
         }
         Ok(FeedWrite::Refused(object)) => {
-            object.map(|object| known_object(node, record, Some(&object)))
+            object.map(|object| cached_object(node, record, Some(&object)))
         }
         Err(fault) => {
             event!(node, RecordFault; "record" => R::KIND.name(), "fault" => fault.to_string());
--- a/crates/front/src/limits.rs
+++ b/crates/front/src/limits.rs
@@ -1,14 +1,17 @@
-//! Limits of client accounts at one process: what it pays for attempts, the ledger while it collects, and what the log
-//! tells of both.
+//! Rate limits of client accounts: charging requests at one process, running the ledger at the collector, and logging
+//! both.
+//!
+//! A ledger at the collector allots tokens of each account's window to the processes, which charge requests to them.
 
 mod diary;
 mod keeper;
 mod pay;
 
 pub(crate) use diary::dump_limits;
-pub use diary::{SpendDiary, tell_limits};
+pub use diary::{SpendTracker, log_limits};
 pub(crate) use keeper::{
-    begin_ledger, begin_ledger_by, end_ledger, resume_ledger, take_handed, tell_left_out,
+    accept_handover, begin_ledger, begin_ledger_from, end_ledger, log_rejected_claims,
+    resume_ledger,
 };
-pub(crate) use pay::pay_tried;
-pub use pay::{Payment, give_back, pay, pay_again};
+pub(crate) use pay::charge_rollout;
+pub use pay::{QuotaCharge, charge_quota, charge_retry, refund_quota};
--- a/crates/front/src/process.rs
+++ b/crates/front/src/process.rs
@@ -84,18 +84,18 @@
         actix_rt::spawn(feeds::follow_rules(node.clone())),
         actix_rt::spawn(feeds::follow_endpoints(node.clone())),
         actix_rt::spawn(sweep(node.clone())),
-        actix_rt::spawn(limits::tell_limits(node.clone())),
+        actix_rt::spawn(limits::log_limits(node.clone())),
         actix_rt::spawn(mesh::report_period(node.clone(), hub)),
         actix_rt::spawn(discover::keep_discovered(node.clone())),
-        actix_rt::spawn(kept::keep_record(node.clone(), SuspectStore)),
-        actix_rt::spawn(kept::keep_record(node.clone(), WindowStore::default())),
+        actix_rt::spawn(kept::sync_record(node.clone(), SuspectStore)),
+        actix_rt::spawn(kept::sync_record(node.clone(), WindowStore::default())),
         actix_rt::spawn(ingress::accept_callers(node.clone(), callers)),
     ];
     if let Some(path) = path {
         tasks.push(actix_rt::spawn(reload::follow_settings(node.clone(), path)));
     }
     if let Some(cloud) = ports.cloud {
-        tasks.push(actix_rt::spawn(duties::do_duties(node.clone(), cloud)));
+        tasks.push(actix_rt::spawn(duties::run_duties(node.clone(), cloud)));
     }
     event!(node, ProcessStarted; "listen" => node.settings.listen.to_string());
     Ok(FrontProcess { node, address, _ready: ready, _admin: admin, _peers: peers, tasks })
--- a/crates/front/src/trace.rs
+++ b/crates/front/src/trace.rs
@@ -1,4 +1,4 @@
-//! What is told of a request once it is over: one line, whatever became of it.
+//! Writes one log line for each finished request, whatever its outcome.
 
 use crate::answer::AnswerWriter;
 use crate::drive::CallOutcome;
@@ -11,36 +11,36 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// What is told of a request once it is over.
+/// Data of a request for its log line.
 pub struct CallTrace {
-    /// When its head had been read.
+    /// When its head was read.
     pub(crate) arrived: Instant,
-    /// Its id.
+    /// Request id.
     pub(crate) request: CompactString,
-    /// What tells that it is the same as another; none if it was refused before.
-    pub(crate) print: Option<RequestFingerprint>,
-    /// The service it goes to.
+    /// Fingerprint of its content; none if the request was refused before it was computed.
+    pub(crate) fingerprint: Option<RequestFingerprint>,
+    /// Service that it is routed to.
     pub(crate) service: CompactString,
-    /// The version of the rules that it was judged by.
+    /// Version of the rules that were applied to it.
     pub(crate) rules: u64,
-    /// Whether they were known to be the newest.
+    /// Whether these rules were known to be the newest.
     pub(crate) fresh: bool,
-    /// Attempts that were sent.
+    /// Number of attempts sent.
     pub(crate) sent: u32,
-    /// Whether an endpoint may have run it.
+    /// Whether the request may have run at an endpoint.
     pub(crate) may_have_run: bool,
-    /// The endpoint of the last attempt.
+    /// Endpoint of the last attempt.
     pub(crate) endpoint: Option<InstanceId>,
-    /// What that was chosen by.
+    /// The choice of that endpoint, with the figures it was based on.
     pub(crate) chosen: Option<PlacementChoice>,
-    /// How old the endpoint list was then.
+    /// Age of the endpoint list at that choice.
     pub(crate) list_age: Option<TimeSpan>,
-    /// The last event that its caller has.
+    /// ID of the last stream event that the caller has received.
     pub(crate) last_event: Option<u64>,
-    /// From its arrival to the first part of its answer.
+    /// Milliseconds from its arrival to the first part of its answer.
     pub(crate) first_ms: Option<u64>,
-    /// The longest pause between two pieces of a stream.
-    pub(crate) pause: Option<TimeSpan>,
+    /// Longest pause between two chunks of the stream.
+    pub(crate) longest_pause: Option<TimeSpan>,
 }
 
 impl CallTrace {
@@ -48,7 +48,7 @@
         CallTrace {
             arrived: Instant::now(),
             request: CompactString::default(),
-            print: None,
+            fingerprint: None,
             service: CompactString::default(),
             rules: 0,
             fresh: false,
@@ -59,44 +59,44 @@
             list_age: None,
             last_event: None,
             first_ms: None,
-            pause: None,
+            longest_pause: None,
         }
     }
 
-    /// The limit of the endpoint chosen, and how old the word of it was.
+    /// Rate limit that the chosen endpoint signalled, and the age of that signal.
     fn limit(&self) -> Option<String> {
         let (rate, age) = self.chosen?.limit?;
         Some(format!("{rate}, {} ms", age.0))
     }
 
-    /// Writes the request's line and counts it.
-    fn tell(&self, node: &FrontNode, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
+    /// Writes the log line of the request and updates the metrics.
+    fn log_outcome(&self, node: &FrontNode, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
         let total_ms = self.arrived.elapsed().as_millis() as u64;
         let request = self.request.as_str();
         let code = answer.code().map_or(0, ResultCode::number);
         node.meter.count_request(&self.service, code, total_ms as f64);
         if let Some(ms) = self.first_ms {
-            node.meter.note_first(&self.service, ms as f64);
+            node.meter.record_first_ms(&self.service, ms as f64);
         }
         let endpoint = self.endpoint.as_ref().map(|id| id.as_str());
-        let print = self.print.map(|print| print.to_string());
+        let fingerprint = self.fingerprint.map(|fingerprint| fingerprint.to_string());
         match (outcome, answer.code()) {
             (Err(fault), _) => event!(node, RequestCut;
-                "request" => request, "print" => print, "service" => self.service.as_str(),
+                "request" => request, "print" => fingerprint, "service" => self.service.as_str(),
                 "why" => fault.to_string(), "status" => answer.status(), "sent" => self.sent,
                 "endpoint" => endpoint, "last_event" => self.last_event, "total_ms" => total_ms,
                 "rules" => self.rules),
             (Ok(()), Some(code)) => event!(node, RequestRefused;
-                "request" => request, "print" => print, "service" => self.service.as_str(),
+                "request" => request, "print" => fingerprint, "service" => self.service.as_str(),
                 "code" => code.number(), "name" => code.name(), "status" => code.status(),
                 "sent" => self.sent, "may_have_run" => self.may_have_run,
                 "endpoint" => endpoint, "total_ms" => total_ms, "rules" => self.rules,
                 "fresh" => self.fresh, "ahead" => self.chosen.map(|choice| choice.tokens_ahead),
                 "running" => self.chosen.map(|choice| choice.running), "limit" => self.limit()),
             (Ok(()), None) => event!(node, RequestDone;
-                "request" => request, "print" => print, "service" => self.service.as_str(),
+                "request" => request, "print" => fingerprint, "service" => self.service.as_str(),
                 "status" => answer.status(), "sent" => self.sent, "endpoint" => endpoint,
-                "first_ms" => self.first_ms, "pause_ms" => self.pause.map(|pause| pause.0),
+                "first_ms" => self.first_ms, "pause_ms" => self.longest_pause.map(|longest_pause| longest_pause.0),
                 "total_ms" => total_ms, "rules" => self.rules,
                 "ahead" => self.chosen.map(|choice| choice.tokens_ahead),
                 "unread" => self.chosen.map(|choice| choice.unread),
@@ -106,35 +106,35 @@
     }
 }
 
-/// Tells of a request also if its caller leaves: its task ends without another word then.
+/// Writes the log line also when the caller disconnects, which drops the task of the request.
 pub struct TraceGuard {
     node: Rc<FrontNode>,
-    /// What there is to tell so far.
+    /// Data gathered so far.
     pub(crate) trace: CallTrace,
-    told: bool,
+    logged: bool,
 }
 
 impl TraceGuard {
-    /// Begins with a request that arrived now.
+    /// Starts the trace of a request that arrives now.
     pub fn new(node: &Rc<FrontNode>) -> Self {
-        TraceGuard { node: node.clone(), trace: CallTrace::new(), told: false }
+        TraceGuard { node: node.clone(), trace: CallTrace::new(), logged: false }
     }
 
-    /// Tells how the request ended.
-    pub fn tell(mut self, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
-        self.trace.tell(&self.node, answer, outcome);
-        self.told = true;
+    /// Logs the outcome of the request.
+    pub fn finish(mut self, answer: &AnswerWriter<'_>, outcome: &CallOutcome) {
+        self.trace.log_outcome(&self.node, answer, outcome);
+        self.logged = true;
     }
 }
 
 impl Drop for TraceGuard {
     fn drop(&mut self) {
-        if self.told {
+        if self.logged {
             return;
         }
         let total_ms = self.trace.arrived.elapsed().as_millis() as u64;
         event!(self.node, RequestCut;
             "request" => self.trace.request.as_str(), "service" => self.trace.service.as_str(),
-            "why" => "the caller left", "sent" => self.trace.sent, "total_ms" => total_ms);
+            "why" => "the caller disconnected", "sent" => self.trace.sent, "total_ms" => total_ms);
     }
 }
--- a/crates/front/src/work.rs
+++ b/crates/front/src/work.rs
@@ -1,4 +1,4 @@
-//! The work this process has at an endpoint, counted while it lasts.
+//! Tracks the requests that this process has in flight at each endpoint, and samples how they end.
 
 use crate::evidence::WaitTicket;
 use crate::node::FrontNode;
@@ -8,44 +8,44 @@
 use oleander_place::{EndpointKey, WorkLoad};
 use std::rc::Rc;
 
-/// How long the first part of an answer is usually waited for.
+/// How long the first part of an answer is expected to take.
 #[derive(Clone, Copy, Debug)]
-pub struct FirstWait {
-    /// By what waits at the endpoint.
+pub struct AnswerWait {
+    /// Estimate by the queue at the endpoint.
     pub expected: TimeSpan,
-    /// By the route.
+    /// Latency objective of the route.
     pub objective: TimeSpan,
 }
 
-impl FirstWait {
-    /// When an answer that was asked for at `now` is overdue: past all that a sound endpoint takes, so that
-    /// a mute one shows before its callers give up.
+impl AnswerWait {
+    /// When the answer to a request sent at `now` is overdue. It is later than a healthy endpoint takes, and
+    /// early enough that a hanging endpoint is noticed before its callers give up.
     fn overdue_at(&self, now: ClockTime) -> ClockTime {
         const TIMES: u64 = 2;
         now + TimeSpan(self.expected.max(self.objective).0 * TIMES)
     }
 }
 
-/// One attempt's share of the load of its endpoint; gives it back when it is dropped.
+/// Counts one attempt in the load of its endpoint until it is dropped.
 pub struct WorkGuard {
     node: Rc<FrontNode>,
     key: EndpointKey,
     unread_tokens: u64,
-    wait: FirstWait,
+    wait: AnswerWait,
     began_at: ClockTime,
     answered_at: Option<ClockTime>,
     ticket: Option<WaitTicket>,
-    /// The route, if answers are compared by route.
+    /// Name of the route, if samples are compared by route.
     route: Option<CompactString>,
 }
 
 impl WorkGuard {
-    /// Counts an attempt that makes `key` read `unread_tokens` tokens.
+    /// Counts an attempt for which the endpoint `key` has to prefill `unread_tokens` prompt tokens.
     pub fn begin(
         node: &Rc<FrontNode>,
         key: EndpointKey,
         unread_tokens: u64,
-        (wait, route): (FirstWait, Option<CompactString>),
+        (wait, route): (AnswerWait, Option<CompactString>),
     ) -> Self {
         let began_at = node.clock.now();
         let overdue_at = wait.overdue_at(began_at);
@@ -55,41 +55,41 @@
         let answered_at = None;
         let guard =
             WorkGuard { node, key, unread_tokens, wait, began_at, answered_at, ticket, route };
-        guard.change(|own| {
+        guard.update_load(|own| {
             own.requests += 1;
             own.unread_tokens += unread_tokens;
         });
         guard
     }
 
-    /// The endpoint.
+    /// The endpoint of the attempt.
     pub fn key(&self) -> EndpointKey {
         self.key
     }
 
-    /// Prompt tokens that are not known to be read yet.
+    /// Prompt tokens that the endpoint still has to prefill.
     pub fn unread_tokens(&self) -> u64 {
         self.unread_tokens
     }
 
-    /// The first part of the answer came.
-    pub fn answered(&mut self) {
+    /// Records that the first part of the answer has arrived.
+    pub fn note_answered(&mut self) {
         let now = self.node.clock.now();
         self.answered_at.get_or_insert(now);
         let took = now - self.began_at;
         self.settle(Some(AnswerSample::Came { took, expected: self.wait.expected }));
     }
 
-    /// Whether the endpoint has borne the request for a while: its answer began long ago.
-    pub fn is_borne(&self) -> bool {
-        /// A request that ends its endpoint was seen to do so 34 to 94 ms after it began; ten times that.
-        const BORNE_AFTER: TimeSpan = TimeSpan(1000);
+    /// Whether the endpoint has survived the request: its answer began more than `SURVIVAL_TIME` ago.
+    pub fn has_survived(&self) -> bool {
+        /// Requests that crash an endpoint were seen to do so 34 to 94 ms after they began; this is ten times that.
+        const SURVIVAL_TIME: TimeSpan = TimeSpan(1000);
         let now = self.node.clock.now();
-        self.answered_at.is_some_and(|at| now - at > BORNE_AFTER)
+        self.answered_at.is_some_and(|at| now - at > SURVIVAL_TIME)
     }
 
-    /// The attempt failed by the endpoint's fault, perhaps after its answer had begun.
-    pub fn failed(&mut self) {
+    /// Records that the attempt failed at the endpoint, perhaps after its answer had begun.
+    pub fn note_failed(&mut self) {
         if self.ticket.is_none() {
             let of = (self.key, self.route.clone());
             self.node.evidence.borrow_mut().note_on_route(of, AnswerSample::Failed);
@@ -103,13 +103,13 @@
         }
     }
 
-    /// The prompt was read: the first event came.
-    pub fn prompt_read(&mut self) {
+    /// Records that the prompt was prefilled: the first event has arrived.
+    pub fn note_prompt_read(&mut self) {
         let tokens = std::mem::take(&mut self.unread_tokens);
-        self.change(|own| own.unread_tokens = own.unread_tokens.saturating_sub(tokens));
+        self.update_load(|own| own.unread_tokens = own.unread_tokens.saturating_sub(tokens));
     }
 
-    fn change(&self, act: impl FnOnce(&mut WorkLoad)) {
+    fn update_load(&self, act: impl FnOnce(&mut WorkLoad)) {
         if let Some(fact) = self.node.endpoints.borrow_mut().get_mut(self.key) {
             act(&mut fact.own);
         }
@@ -119,7 +119,7 @@
 impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.settle(None);
-        self.prompt_read();
-        self.change(|own| own.requests = own.requests.saturating_sub(1));
+        self.note_prompt_read();
+        self.update_load(|own| own.requests = own.requests.saturating_sub(1));
     }
 }
--- a/tests/all/holder.rs
+++ b/tests/all/holder.rs
@@ -1,6 +1,6 @@
-//! Control work of a holder that stands still between its look at the lease and its call.
+//! Control work of a lease holder that is suspended between checking the lease and sending a call.
 
-use crate::front::{StillStore, ask, front_with, good, request, run, still_store};
+use crate::front::{StaticStore, ask, front_with, good, request, run, static_store};
 use bytes::Bytes;
 use futures_util::future::{FutureExt, LocalBoxFuture};
 use oleandertack::board::NodeClock;
@@ -17,36 +17,36 @@
 use tokio::sync::Notify;
 
 const LEASE_MS: u64 = 600;
-/// Longer than the lease and what others wait besides.
-const STANDSTILL: Duration = Duration::from_millis(800);
+/// Longer than the lease and the time that other processes wait in addition.
+const SUSPENSION_TIME: Duration = Duration::from_millis(800);
 
-/// Blocks the only thread of the process, once.
+/// Blocks the only thread of the process once.
 #[derive(Default)]
-struct StandStill {
+struct ProcessSuspension {
     over: Cell<bool>,
 }
 
-impl StandStill {
-    fn happen(&self) {
+impl ProcessSuspension {
+    fn suspend_once(&self) {
         if !self.over.replace(true) {
-            std::thread::sleep(STANDSTILL);
+            std::thread::sleep(SUSPENSION_TIME);
         }
     }
 }
 
-/// A store in front of whose answer to a usage report the process stands still.
-struct FrozenStore {
-    still: StillStore,
-    freeze: Rc<StandStill>,
+/// A store that suspends the process before it writes a usage report.
+struct SuspendingStore {
+    inner: StaticStore,
+    suspension: Rc<ProcessSuspension>,
 }
 
-impl FeedStore for FrozenStore {
+impl FeedStore for SuspendingStore {
     fn list(&self, kind: FeedKind) -> LocalBoxFuture<'_, Result<FeedPage>> {
-        self.still.list(kind)
+        self.inner.list(kind)
     }
 
     fn watch(&self, k: FeedKind, from: u64, t: TimeSpan) -> LocalBoxFuture<'_, Result<FeedAnswer>> {
-        self.still.watch(k, from, t)
+        self.inner.watch(k, from, t)
     }
 
     fn read<'a>(
@@ -54,7 +54,7 @@
         kind: FeedKind,
         name: &'a str,
     ) -> LocalBoxFuture<'a, Result<Option<FeedObject>>> {
-        self.still.read(kind, name)
+        self.inner.read(kind, name)
     }
 
     fn write<'a>(
@@ -65,38 +65,38 @@
         body: Bytes,
     ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
         if kind == FeedKind::UsageReports {
-            self.freeze.happen();
+            self.suspension.suspend_once();
         }
-        self.still.write(kind, name, guard, body)
+        self.inner.write(kind, name, guard, body)
     }
 
     fn remove<'a>(&'a self, kind: FeedKind, name: &'a str) -> LocalBoxFuture<'a, Result<()>> {
-        self.still.remove(kind, name)
+        self.inner.remove(kind, name)
     }
 }
 
-/// A cloud that notes whether each call had a right to leave.
+/// A cloud that records whether each call was permitted when it was sent.
 #[derive(Default)]
-struct NotingCloud {
-    /// Before the first call leaves, the process stands still.
-    freeze: Option<Rc<StandStill>>,
-    stamped: RefCell<Vec<bool>>,
+struct RecordingCloud {
+    /// Suspends the process before the first call is sent.
+    suspension: Option<Rc<ProcessSuspension>>,
+    permitted: RefCell<Vec<bool>>,
     called: Notify,
 }
 
-impl NotingCloud {
+impl RecordingCloud {
     fn take(&self, permit: &dyn DutyPermit) -> Result<DutyAnswer> {
-        if let Some(freeze) = &self.freeze {
-            freeze.happen();
+        if let Some(suspension) = &self.suspension {
+            suspension.suspend_once();
         }
         let stamp = permit.stamp();
-        self.stamped.borrow_mut().push(stamp.is_some());
+        self.permitted.borrow_mut().push(stamp.is_some());
         self.called.notify_one();
         stamp.map(|_| DutyAnswer::Done).ok_or(PlatError::NotSent("no right".to_owned()))
     }
 }
 
-impl DutyPort for NotingCloud {
+impl DutyPort for RecordingCloud {
     fn report_usage<'a>(
         &'a self,
         permit: &'a dyn DutyPermit,
@@ -114,8 +114,8 @@
     }
 }
 
-/// Whether each of the first two calls of a process had a right to leave.
-async fn first_calls(store: Box<dyn FeedStore>, cloud: Rc<NotingCloud>) -> Vec<bool> {
+/// Whether each of the first two calls of a process was permitted when it was sent.
+async fn first_permits(store: Box<dyn FeedStore>, cloud: Rc<RecordingCloud>) -> Vec<bool> {
     let bounds = FrontBounds {
         lease_ms: LEASE_MS,
         usage_window_s: 0.3,
@@ -125,42 +125,42 @@
     let ports = FrontPorts { store, cloud: Some(cloud.clone()), clock: NodeClock::default() };
     let (_process, address) = front_with(ports, bounds).await;
     assert_eq!(ask(address, &request("POST", "/once/a", "r", "", "")).await.status(), "200");
-    while cloud.stamped.borrow().len() < 2 {
+    while cloud.permitted.borrow().len() < 2 {
         cloud.called.notified().await;
     }
-    cloud.stamped.borrow().clone()
+    cloud.permitted.borrow().clone()
 }
 
-/// An account is billed by two processes at once. The holder fixes a window's usage in the store and
-/// stands still for longer than its lease while it waits for the answer. Another process takes the
-/// lease and reports. The first wakes and reports by the lease that it looked at before, and a platform
-/// that does not check tokens takes both.
+/// Guards against an account that is billed by two processes. The holder writes a window's usage to the store
+/// and is suspended for longer than its lease while it waits for the answer. Another process takes the lease
+/// and reports. The first resumes and reports under its expired lease, and a platform that does not check
+/// fencing tokens accepts both.
 #[test]
-fn a_holder_that_stands_still_while_it_waits_for_the_store_does_not_act_when_it_wakes() {
+fn a_holder_suspended_while_it_waits_for_the_store_makes_no_call_when_it_resumes() {
     run(async {
         let endpoint = good("hello").await;
-        let freeze = Rc::new(StandStill::default());
-        let still = still_store(&[endpoint.address]);
-        let store = FrozenStore { still, freeze };
+        let suspension = Rc::new(ProcessSuspension::default());
+        let inner = static_store(&[endpoint.address]);
+        let store = SuspendingStore { inner, suspension };
 
-        let stamped = first_calls(Box::new(store), Rc::default()).await;
+        let permitted = first_permits(Box::new(store), Rc::default()).await;
 
-        // The window is reported later, by the lease as it is then.
-        assert_eq!(stamped, [false, true]);
+        // The window is reported later, under the lease that is held then.
+        assert_eq!(permitted, [false, true]);
     });
 }
 
-/// The same while it waits for a connection to the platform: the call is begun by the lease, and would
-/// leave after it.
+/// The same failure while the holder connects to the platform: the call is started under the lease and would
+/// be sent after it has expired.
 #[test]
-fn a_holder_that_stands_still_while_it_connects_does_not_act_when_it_wakes() {
+fn a_holder_suspended_while_it_connects_makes_no_call_when_it_resumes() {
     run(async {
         let endpoint = good("hello").await;
-        let freeze = Some(Rc::new(StandStill::default()));
-        let cloud = Rc::new(NotingCloud { freeze, ..NotingCloud::default() });
+        let suspension = Some(Rc::new(ProcessSuspension::default()));
+        let cloud = Rc::new(RecordingCloud { suspension, ..RecordingCloud::default() });
 
-        let stamped = first_calls(Box::new(still_store(&[endpoint.address])), cloud).await;
+        let permitted = first_permits(Box::new(static_store(&[endpoint.address])), cloud).await;
 
-        assert_eq!(stamped, [false, true]);
+        assert_eq!(permitted, [false, true]);
     });
 }
--- a/tests/all/lives.rs
+++ b/tests/all/lives.rs
@@ -1,7 +1,7 @@
 //! Tests of endpoints that restart under the same name, and of entries written by others.
 
 use crate::front::{
-    StillStore, ask, front_with, good, object, read_answer, request, run, still_store,
+    StaticStore, ask, front_with, good, object, read_answer, request, run, static_store,
 };
 use crate::scripted::{Act, scripted};
 use arbtest::arbtest;
@@ -161,7 +161,7 @@
 
 /// A store whose endpoint list the test changes.
 struct PushedStore {
-    still: StillStore,
+    still: StaticStore,
     pushed: Rc<Pushed>,
 }
 
@@ -226,7 +226,7 @@
 
 fn pushed(endpoints: &[SocketAddr]) -> (FrontPorts, Rc<Pushed>) {
     let pushed = Rc::new(Pushed::default());
-    let store = PushedStore { still: still_store(endpoints), pushed: pushed.clone() };
+    let store = PushedStore { still: static_store(endpoints), pushed: pushed.clone() };
     (FrontPorts { store: Box::new(store), cloud: None, clock: NodeClock::default() }, pushed)
 }
 
--- a/tests/all/paying.rs
+++ b/tests/all/paying.rs
@@ -1,6 +1,6 @@
-//! What requests take of their account's limit, through a real process and scripted endpoints.
+//! Charging requests to their account's limit, through a real process and scripted endpoints.
 
-use crate::front::{ask, front_with, request, run, still_store};
+use crate::front::{ask, front_with, request, run, static_store};
 use crate::scripted::{Act, Scripted, scripted};
 use oleandertack::board::NodeClock;
 use oleandertack::conf::FrontBounds;
@@ -9,26 +9,26 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Tokens that a request without a count stands for.
-const TOKENS: u64 = 200;
-/// Between two looks whether the process has a ledger.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
-const GOOD: &str = "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {id}\r\n\
+/// Tokens charged for a request without a token count.
+const TOKENS_PER_REQUEST: u64 = 200;
+/// Interval of polling whether the process has a ledger.
+const POLL_PERIOD: Duration = Duration::from_millis(5);
+const OK_ANSWER: &str = "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {id}\r\n\
     X-Oleandertack-Response-Seal: seal\r\nContent-Length: 2\r\n\r\nok";
-const NOT_RUN: &str = "HTTP/1.1 503 Full\r\nX-Oleandertack-Request-Id: {id}\r\n\
+const NOT_RUN_ANSWER: &str = "HTTP/1.1 503 Full\r\nX-Oleandertack-Request-Id: {id}\r\n\
     X-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A process before endpoints, with an account of 100 tokens a second and a burst of 1,200: 2,000 a window.
+/// A process with these endpoints and an account of 100 tokens a second with a burst of 1,200: 2,000 in a window.
 async fn limited_front(endpoints: &[&Scripted]) -> (FrontProcess, SocketAddr) {
     let addresses: Vec<SocketAddr> = endpoints.iter().map(|endpoint| endpoint.address).collect();
-    let store = still_store(&addresses).with_rules(|rules| {
+    let store = static_store(&addresses).with_rules(|rules| {
         rules.replace(r#""rate-per-s":0,"burst":0"#, r#""rate-per-s":100,"burst":1200"#)
     });
     let bounds = FrontBounds { retry_slack: 100, ..FrontBounds::default() };
     let ports = FrontPorts { store: Box::new(store), cloud: None, clock: NodeClock::default() };
     let (process, address) = front_with(ports, bounds).await;
     while !process.node.mesh.borrow().has_ledger() {
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_PERIOD).await;
     }
     (process, address)
 }
@@ -42,12 +42,12 @@
     limits.statuses(process.node.clock.lease_now()).map(|(_, stand)| stand.spent).sum()
 }
 
-/// Operators see an account above its limit, by what was answered well: each answered request was paid back, as
-/// none of its attempts had ended without an answer.
+/// Guards against accounts that exceed their limit: answered requests were refunded, because none of their attempts
+/// had failed.
 #[test]
 fn a_request_that_was_answered_is_paid_for() {
     run(async {
-        let good = endpoint(GOOD).await;
+        let good = endpoint(OK_ANSWER).await;
         let (process, address) = limited_front(&[&good]).await;
 
         for number in 0..3 {
@@ -55,52 +55,52 @@
             assert_eq!(ask(address, &text).await.status(), "200");
         }
 
-        assert_eq!(spent(&process), 3 * TOKENS);
+        assert_eq!(spent(&process), 3 * TOKENS_PER_REQUEST);
     });
 }
 
-/// Operators count the tokens of each attempt that runs; one that was made again after its endpoint failed counted
-/// once here.
+/// Each attempt that may have run counts against the limit. A request that was retried after its endpoint failed was
+/// charged only once.
 #[test]
 fn a_further_attempt_is_paid_for() {
     run(async {
         let near = scripted(vec![vec![Act::Reset]]).await;
-        let far = endpoint(GOOD).await;
+        let far = endpoint(OK_ANSWER).await;
         let (process, address) = limited_front(&[&near, &far]).await;
 
-        let came = ask(address, &request("GET", "/any/a", "r", "", "")).await;
+        let answer = ask(address, &request("GET", "/any/a", "r", "", "")).await;
 
-        assert_eq!(came.status(), "200");
-        assert_eq!(spent(&process), 2 * TOKENS);
+        assert_eq!(answer.status(), "200");
+        assert_eq!(spent(&process), 2 * TOKENS_PER_REQUEST);
     });
 }
 
-/// A caller that no endpoint took in has used nothing of its limit.
+/// A request that every endpoint refused without running it must use nothing of its account's limit.
 #[test]
 fn a_request_that_did_not_run_is_given_back() {
     run(async {
-        let full = endpoint(NOT_RUN).await;
+        let full = endpoint(NOT_RUN_ANSWER).await;
         let (process, address) = limited_front(&[&full]).await;
 
-        let came = ask(address, &request("POST", "/once/a", "r", "", "x")).await;
+        let answer = ask(address, &request("POST", "/once/a", "r", "", "x")).await;
 
-        assert_eq!(came.status(), "503");
+        assert_eq!(answer.status(), "503");
         assert_eq!(spent(&process), 0);
     });
 }
 
-/// A caller beyond its limit is told so at once, and when to come back; nothing of it reaches an endpoint.
+/// A request above the limit is refused at once with a `Retry-After` time, and must not reach an endpoint.
 #[test]
 fn a_request_beyond_the_limit_is_refused_with_the_time_to_come_back() {
     run(async {
-        let good = endpoint(GOOD).await;
+        let good = endpoint(OK_ANSWER).await;
         let (_process, address) = limited_front(&[&good]).await;
 
         let mut statuses = Vec::new();
         for number in 0..12 {
-            let came =
+            let answer =
                 ask(address, &request("POST", "/once/a", &format!("r{number}"), "", "x")).await;
-            statuses.push((came.status().to_owned(), came.has("retry-after")));
+            statuses.push((answer.status().to_owned(), answer.has("retry-after")));
         }
 
         let refused: Vec<_> = statuses.iter().filter(|(status, _)| status == "429").collect();
