--- a/crates/front/src/duties/orders.rs
+++ b/crates/front/src/duties/orders.rs
@@ -6,8 +6,8 @@
 use crate::releases;
 use oleander_call::{EngineRule, RuleSet, ScaleRule};
 use oleander_duty::{
-    DomainStand, MarketCount, OrderEnd, OrderMemory, ScaleFacts, ServiceNeed, lost_to_limits,
-    needed_engines, plan_orders,
+    DomainStatus, MarketCount, OrderHistory, OrderOutcome, PeakNeed, ScaleInputs,
+    engines_lost_to_limits, needed_engines, plan_orders,
 };
 use oleander_kind::endpoint::InstanceMarket;
 use oleander_kind::{ClockTime, DomainName, ServiceName, TimeSpan};
@@ -25,7 +25,7 @@
 
 #[derive(Default)]
 struct ServiceStand {
-    need: ServiceNeed,
+    need: PeakNeed,
     asked_since: Option<ClockTime>,
     /// Whether the need was told by the last holder.
     inherited: bool,
@@ -37,7 +37,7 @@
     cloud: Rc<dyn DutyPort>,
     lease: Rc<DutyLease>,
 ) {
-    let mut memory = OrderMemory::default();
+    let mut memory = OrderHistory::default();
     let mut stands: BTreeMap<ServiceName, ServiceStand> = BTreeMap::new();
     let mut fence = 0;
     loop {
@@ -45,7 +45,7 @@
         let Some(held) = lease.fence() else { continue };
         if held != fence {
             // Another holder may have ordered meanwhile.
-            memory = OrderMemory::default();
+            memory = OrderHistory::default();
             stands = inherit_peaks(&node);
             fence = held;
         }
@@ -66,7 +66,7 @@
     node: &FrontNode,
     rules: &RuleSet,
     stands: &mut BTreeMap<ServiceName, ServiceStand>,
-    memory: &mut OrderMemory,
+    memory: &mut OrderHistory,
 ) -> Vec<ScaleOrder> {
     let mut orders = Vec::new();
     for service in rules.services() {
@@ -74,10 +74,10 @@
         let stand = stands.entry(service.name.clone()).or_default();
         let needed = needed_of(node, &service.name, engine, stand);
         let domains = domain_stands(node, &service.name, scale);
-        memory.note_stand(&service.name, &domains, node.clock.now());
+        memory.note_status(&service.name, &domains, node.clock.now());
         let needed_now = stand.need.recent_peak(node.clock.now());
         let lost = lost_endpoints(node, &service.name, needed_now);
-        let facts = ScaleFacts {
+        let facts = ScaleInputs {
             service: &service.name,
             rule: scale,
             domains: &domains,
@@ -106,7 +106,7 @@
     let board = node.endpoints.borrow();
     let facts = board.of_service(service).iter().filter_map(|key| board.get(*key));
     let limits = facts.filter(|fact| fact.takes_work()).filter_map(|fact| fact.declared.limit.rate);
-    lost_to_limits(limits, asked, needed)
+    engines_lost_to_limits(limits, asked, needed)
 }
 
 fn needed_of(
@@ -163,7 +163,7 @@
     node.mesh.borrow().peaks.iter().map(stand).collect()
 }
 
-fn domain_stands(node: &FrontNode, service: &ServiceName, scale: &ScaleRule) -> Vec<DomainStand> {
+fn domain_stands(node: &FrontNode, service: &ServiceName, scale: &ScaleRule) -> Vec<DomainStatus> {
     let board = node.endpoints.borrow();
     let live = |domain: &DomainName| {
         let mut count = MarketCount::default();
@@ -179,7 +179,7 @@
         }
         count
     };
-    let stand = |(domain, price): &(DomainName, f64)| DomainStand {
+    let stand = |(domain, price): &(DomainName, f64)| DomainStatus {
         domain: domain.clone(),
         price: *price,
         live: live(domain),
@@ -192,15 +192,15 @@
     cloud: &dyn DutyPort,
     lease: &DutyLease,
     order: &ScaleOrder,
-    memory: &mut OrderMemory,
+    memory: &mut OrderHistory,
 ) {
     let answer = cloud.order_endpoints(lease, order).await;
     let end = match &answer {
-        Ok(DutyAnswer::Done) => OrderEnd::Made,
-        Ok(DutyAnswer::Refused(_)) => OrderEnd::Refused,
-        Err(_) => OrderEnd::Unknown,
+        Ok(DutyAnswer::Done) => OrderOutcome::Made,
+        Ok(DutyAnswer::Refused(_)) => OrderOutcome::Refused,
+        Err(_) => OrderOutcome::Unknown,
     };
-    node.meter.count_order(end == OrderEnd::Made);
+    node.meter.count_order(end == OrderOutcome::Made);
     event!(node, EndpointsOrdered;
         "service" => order.service.as_str(), "domain" => order.domain.as_str(),
         "market" => format!("{:?}", order.market), "count" => order.count,
--- a/crates/front/src/duties/usage.rs
+++ b/crates/front/src/duties/usage.rs
@@ -4,7 +4,7 @@
 use crate::events::event;
 use crate::node::FrontNode;
 use oleander_duty::usage::window_of;
-use oleander_duty::{UsageDuty, UsageStep};
+use oleander_duty::{UsageReporter, UsageStep};
 use oleander_kind::{AccountName, ClockTime, TimeSpan};
 use oleander_plat::{DutyAnswer, DutyPort, FeedGuard, FeedKind, FeedWrite, UsageReport};
 use serde::{Deserialize, Serialize};
@@ -29,7 +29,7 @@
     let bounds = node.bounds();
     let length = TimeSpan((bounds.usage_window_s * 1000.0) as u64);
     let due = TimeSpan((bounds.usage_due_s * 1000.0) as u64);
-    let mut duty: Option<(u64, UsageDuty)> = None;
+    let mut duty: Option<(u64, UsageReporter)> = None;
     loop {
         actix_rt::time::sleep(DUTY_PERIOD.duration()).await;
         let Some(fence) = lease.fence() else {
@@ -59,8 +59,8 @@
 }
 
 /// A duty that goes on after the windows that are known to be reported.
-fn begin_usage(node: &FrontNode, length: TimeSpan, due: TimeSpan, now: ClockTime) -> UsageDuty {
-    let mut duty = UsageDuty::begin(length, due, now);
+fn begin_usage(node: &FrontNode, length: TimeSpan, due: TimeSpan, now: ClockTime) -> UsageReporter {
+    let mut duty = UsageReporter::begin(length, due, now);
     let reported = node.mesh.borrow().reported_window;
     if reported <= window_of(now, length) {
         duty.done(reported);
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -10,7 +10,7 @@
     AccountClaim, EndpointLoad, EndpointMark, HandedLedger, NodeReport, NodeUsage, ServiceDemand,
     ServicePace, UsageCount, words_mark,
 };
-use oleander_pace::PaceBook;
+use oleander_pace::PaceEstimator;
 
 /// What a report says of limits.
 pub(super) enum LimitNews {
@@ -104,7 +104,7 @@
 
 fn own_paces(node: &FrontNode) -> Vec<ServicePace> {
     let paces = node.paces.borrow();
-    let pace = |(service, book): (&ServiceName, &PaceBook)| {
+    let pace = |(service, book): (&ServiceName, &PaceEstimator)| {
         Some(ServicePace { service: service.clone(), read: book.pace()? })
     };
     paces.iter().filter_map(pace).collect()
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -13,7 +13,7 @@
 use oleander_board::{NodeClock, StopStage};
 use oleander_call::RuleSet;
 use oleander_conf::{FrontBounds, FrontSettings};
-use oleander_duty::UsageBook;
+use oleander_duty::UsageCounter;
 use oleander_flow::{BudgetSettings, RetryBudget};
 use oleander_kind::hash::mix_bits;
 use oleander_kind::{AccountName, ClockTime, ServiceName, TimeSpan};
@@ -21,7 +21,7 @@
 use oleander_list::{AgeLimits, RosterBook};
 use oleander_mesh::{MemberCard, MeshBody, RulesBook, ServiceDemand, collect_strength};
 use oleander_outlet::{HttpCodec, LinkPool};
-use oleander_pace::{ASSUMED_PER_MS, PaceBook, ReadPace, ReadSample};
+use oleander_pace::{ASSUMED_PER_MS, PaceEstimator, ReadPace, ReadSample};
 use oleander_place::{
     EndpointBoard, EndpointFact, EndpointKey, OfferedRate, PauseRecord, PrefixRecord, ServiceLoad,
 };
@@ -93,13 +93,13 @@
     /// What the log was told of them.
     pub spend_diary: RefCell<SpendDiary>,
     /// Requests that began to run, by window and account.
-    pub usage: RefCell<UsageBook>,
+    pub usage: RefCell<UsageCounter>,
     /// What was asked of the services since this process began.
     pub demand: RefCell<BTreeMap<ServiceName, ServiceDemand>>,
     /// Prompt tokens that callers of this process ask the services to read.
     pub offered: RefCell<HashMap<ServiceName, OfferedRate>>,
     /// How fast this process saw the services' engines read.
-    pub paces: RefCell<HashMap<ServiceName, PaceBook>>,
+    pub paces: RefCell<HashMap<ServiceName, PaceEstimator>>,
     /// How often streams of this process paused for too long, by service.
     pub pauses: RefCell<HashMap<ServiceName, PauseRecord>>,
     /// What this process sees of endpoints, until the collector has it.
@@ -176,7 +176,7 @@
             traffic: Rc::default(),
             peers: OnceCell::new(),
             spend_diary: RefCell::default(),
-            usage: RefCell::new(UsageBook::new(window)),
+            usage: RefCell::new(UsageCounter::new(window)),
             demand: RefCell::default(),
             offered: RefCell::default(),
             paces: RefCell::default(),
--- a/crates/mesh/src/collector.rs
+++ b/crates/mesh/src/collector.rs
@@ -13,7 +13,7 @@
 use oleander_kind::{AccountName, ClockTime, InstanceId, ServiceName, TimeSpan};
 use oleander_limit::{PoolLedger, PoolLimit, RateAllocator};
 use oleander_list::{RosterBook, RosterState};
-use oleander_pace::{ReadPace, join_paces};
+use oleander_pace::{ReadPace, merge_paces};
 use oleander_plat::FeedObject;
 use oleander_release::ReleaseNews;
 use oleander_suspect::SuspectBook;
@@ -269,7 +269,7 @@
             found.entry(&pace.service).or_default().push(pace.read);
         }
         let joined = found.iter().filter_map(|(service, reads)| {
-            let read = join_paces(reads.iter().copied())?;
+            let read = merge_paces(reads.iter().copied())?;
             Some(ServicePace { service: ServiceName::clone(service), read })
         });
         let mut paces: Vec<ServicePace> = joined.collect();
--- a/tests/all/duty.rs
+++ b/tests/all/duty.rs
@@ -1,10 +1,10 @@
-//! Usage windows and orders for endpoints, in virtual time.
+//! Usage windows and orders for endpoints, in simulated time.
 
 use oleandertack::call::{EngineRule, ScaleRule};
-use oleandertack::duty::scale::{lost_to_limits, needed_engines};
+use oleandertack::duty::scale::{engines_lost_to_limits, needed_engines};
 use oleandertack::duty::{
-    DomainStand, MarketCount, OrderEnd, OrderMemory, ScaleFacts, ServiceNeed, UsageBook, UsageDuty,
-    UsageStep, plan_orders,
+    DomainStatus, MarketCount, OrderHistory, OrderOutcome, PeakNeed, ScaleInputs, UsageCounter,
+    UsageReporter, UsageStep, plan_orders,
 };
 use oleandertack::kind::endpoint::InstanceMarket;
 use oleandertack::kind::{AccountName, ClockTime, RequestRate, ServiceName, TimeSpan};
@@ -15,25 +15,25 @@
 const DUE: TimeSpan = TimeSpan(10_000);
 
 #[test]
-fn a_window_is_reported_once_it_is_complete_and_before_it_is_due() {
+fn a_window_is_reported_when_complete_and_before_it_is_due() {
     let end = ClockTime(200 * LENGTH.0);
-    let duty = UsageDuty::begin(LENGTH, DUE, ClockTime(end.0 - 1));
+    let duty = UsageReporter::begin(LENGTH, DUE, ClockTime(end.0 - 1));
     let mut duty = duty.clone();
     duty.done(198);
 
     assert_eq!(duty.next(end + TimeSpan(1000), |_| true), UsageStep::Wait);
     assert_eq!(duty.next(end + TimeSpan(1600), |_| true), UsageStep::Report(199));
-    // A silent member is waited for, but not until it is too late.
+    // The report waits for a silent member, but not past its due time.
     assert_eq!(duty.next(end + TimeSpan(1600), |_| false), UsageStep::Wait);
     assert_eq!(duty.next(end + TimeSpan(4600), |_| false), UsageStep::Report(199));
     assert!(!duty.is_late(199, end + TimeSpan(4600)));
 }
 
 #[test]
-fn a_new_holder_does_not_report_what_is_too_late() {
+fn a_new_holder_skips_windows_past_their_due_time() {
     let now = ClockTime(200 * LENGTH.0);
 
-    let duty = UsageDuty::begin(LENGTH, DUE, now);
+    let duty = UsageReporter::begin(LENGTH, DUE, now);
 
     assert_eq!(duty.reported(), 197);
     assert!(duty.is_late(197, now + TimeSpan(1)));
@@ -42,7 +42,7 @@
 
 #[test]
 fn counts_are_kept_until_they_are_reported() {
-    let mut book = UsageBook::new(LENGTH);
+    let mut book = UsageCounter::new(LENGTH);
     let account = AccountName::from("tartu");
     book.note(&account, ClockTime(12_000));
     book.note(&account, ClockTime(16_000));
@@ -63,25 +63,25 @@
     }
 }
 
-fn stand(domain: &str, price: f64, reclaimable: u32, on_demand: u32) -> DomainStand {
+fn status(domain: &str, price: f64, reclaimable: u32, on_demand: u32) -> DomainStatus {
     let live = MarketCount { reclaimable, on_demand };
-    DomainStand { domain: domain.into(), price, live }
+    DomainStatus { domain: domain.into(), price, live }
 }
 
 struct Planner {
     service: ServiceName,
     rule: ScaleRule,
-    memory: OrderMemory,
+    history: OrderHistory,
     now: ClockTime,
 }
 
 fn planner() -> Planner {
-    Planner { service: "engine".into(), rule: rule(), memory: OrderMemory::default(), now: NOW }
+    Planner { service: "engine".into(), rule: rule(), history: OrderHistory::default(), now: NOW }
 }
 
 impl Planner {
-    fn plan(&self, domains: &[DomainStand], needed: Option<f64>) -> Vec<ScaleOrder> {
-        let facts = ScaleFacts {
+    fn plan(&self, domains: &[DomainStatus], needed: Option<f64>) -> Vec<ScaleOrder> {
+        let facts = ScaleInputs {
             service: &self.service,
             rule: &self.rule,
             domains,
@@ -90,19 +90,25 @@
             baseline: 9,
             now: self.now,
         };
-        plan_orders(&facts, &self.memory)
+        plan_orders(&facts, &self.history)
     }
 
-    /// Plans and notes the orders; reclaimable ones above what serves are refused if `dry`.
-    fn round(&mut self, domains: &[DomainStand], needed: f64, dry: bool) -> Vec<ScaleOrder> {
-        self.memory.note_stand(&self.service, domains, self.now);
+    /// Plans and records the orders; if `unavailable`, reclaimable endpoints above those that serve
+    /// are refused.
+    fn round(
+        &mut self,
+        domains: &[DomainStatus],
+        needed: f64,
+        unavailable: bool,
+    ) -> Vec<ScaleOrder> {
+        self.history.note_status(&self.service, domains, self.now);
         let orders = self.plan(domains, Some(needed));
         for order in &orders {
-            let live = domains.iter().find(|stand| stand.domain == order.domain);
-            let live = live.map_or(0, |stand| stand.live.of(order.market));
+            let live = domains.iter().find(|status| status.domain == order.domain);
+            let live = live.map_or(0, |status| status.live.of(order.market));
             let more = order.market == InstanceMarket::Reclaimable && order.count > live;
-            let end = if dry && more { OrderEnd::Refused } else { OrderEnd::Made };
-            self.memory.note(order, end, self.now);
+            let end = if unavailable && more { OrderOutcome::Refused } else { OrderOutcome::Made };
+            self.history.note(order, end, self.now);
         }
         self.now = self.now + TimeSpan(200);
         orders
@@ -117,16 +123,17 @@
 use InstanceMarket::{OnDemand, Reclaimable};
 
 #[test]
-fn at_the_start_half_more_are_bought_cheaply_and_the_dear_ones_stay_until_enough_serve() {
+fn on_demand_endpoints_are_replaced_once_enough_reclaimable_ones_serve() {
     let planner = planner();
-    let before = [stand("a", 0.85, 0, 3), stand("b", 1.2, 0, 3), stand("c", 1.0, 0, 3)];
-    let after = [stand("a", 0.85, 3, 3), stand("b", 1.2, 3, 3), stand("c", 1.0, 3, 3)];
+    let before = [status("a", 0.85, 0, 3), status("b", 1.2, 0, 3), status("c", 1.0, 0, 3)];
+    let after = [status("a", 0.85, 3, 3), status("b", 1.2, 3, 3), status("c", 1.0, 3, 3)];
 
     let first = planner.plan(&before, None);
     let then = planner.plan(&after, None);
 
-    // Six fit into a domain. Once as many serve as there were, the dear ones leave, and half more than
-    // those are bought, so that the loss of any one domain leaves nine.
+    // Six fit into a domain. Once as many reclaimable endpoints serve as there were on demand, the
+    // expensive ones are given up, and half more reclaimable ones are ordered, so that the loss of
+    // any one domain leaves nine.
     assert_eq!(first.len(), 3, "{first:?}");
     assert!(first.iter().all(|order| order.market == Reclaimable && order.count == 3));
     assert_eq!(["a", "b", "c"].map(|d| count(&then, d, OnDemand)), [Some(0); 3], "{then:?}");
@@ -134,12 +141,12 @@
 }
 
 #[test]
-fn reclaimable_endpoints_are_spread_so_that_one_domain_can_be_lost() {
-    // Needed are 4.8. Losing any one failure domain leaves seven, a third more than that.
+fn reclaimable_endpoints_are_spread_to_survive_the_loss_of_a_domain() {
+    // 4.8 are needed. The loss of any one failure domain leaves seven, a third more than that.
     let planner = planner();
-    let stands = [stand("a", 0.85, 1, 0), stand("b", 1.2, 1, 0), stand("c", 1.0, 1, 0)];
+    let statuses = [status("a", 0.85, 1, 0), status("b", 1.2, 1, 0), status("c", 1.0, 1, 0)];
 
-    let orders = planner.plan(&stands, Some(4.8));
+    let orders = planner.plan(&statuses, Some(4.8));
 
     let wanted: Vec<_> =
         ["a", "b", "c"].iter().filter_map(|d| count(&orders, d, Reclaimable)).collect();
@@ -148,14 +155,14 @@
 }
 
 #[test]
-fn endpoints_that_serve_are_not_given_up_for_ones_that_have_yet_to_start() {
-    // Callers of a whole service waited for seconds: of twelve engines a second reclaim left the
-    // four of one domain, and the plan emptied these to make room for six on demand.
+fn serving_endpoints_are_not_replaced_by_ones_that_have_yet_to_start() {
+    // Callers of a whole service wait for seconds: of twelve engines a second reclaim leaves the
+    // four of one domain, and the plan removes these to make room for six on demand.
     let mut planner = planner();
-    let stands = [stand("a", 0.85, 4, 0), stand("b", 1.2, 0, 0), stand("c", 1.0, 0, 0)];
-    let first = planner.round(&stands, 9.0, true);
+    let statuses = [status("a", 0.85, 4, 0), status("b", 1.2, 0, 0), status("c", 1.0, 0, 0)];
+    let first = planner.round(&statuses, 9.0, true);
 
-    let orders = planner.round(&stands, 9.0, true);
+    let orders = planner.round(&statuses, 9.0, true);
 
     let latest =
         |domain| count(&orders, domain, OnDemand).or(count(&first, domain, OnDemand)).unwrap_or(0);
@@ -165,16 +172,16 @@
     assert_eq!(bought, 9, "{orders:?}");
 }
 
-/// Callers of a whole service wait for 4 s. Three domains are reclaimed one after the other; at the second
-/// wave endpoints on demand are ordered where there is room. At the third a cheaper domain has room,
-/// and those that were about to start were given up for others there.
+/// Callers of a whole service wait for 4 s. Three domains are reclaimed one after the other; at the
+/// second wave on-demand endpoints are ordered where there is room. At the third a cheaper domain
+/// has room, and the endpoints that are about to serve are given up for others there.
 #[test]
-fn endpoints_that_are_starting_are_not_given_up_for_ones_in_a_cheaper_domain() {
+fn starting_endpoints_are_not_replaced_by_ones_in_a_cheaper_domain() {
     let mut planner = planner();
-    let second = [stand("a", 0.85, 4, 0), stand("b", 1.2, 0, 0), stand("c", 1.0, 0, 2)];
+    let second = [status("a", 0.85, 4, 0), status("b", 1.2, 0, 0), status("c", 1.0, 0, 2)];
     planner.round(&second, 7.0, true);
     let bought = planner.round(&second, 7.0, true);
-    let third = [stand("a", 0.85, 0, 1), stand("b", 1.2, 0, 0), stand("c", 1.0, 0, 2)];
+    let third = [status("a", 0.85, 0, 1), status("b", 1.2, 0, 0), status("c", 1.0, 0, 2)];
 
     let orders = planner.round(&third, 7.0, true);
 
@@ -183,28 +190,28 @@
 }
 
 #[test]
-fn while_lost_ones_cannot_be_replaced_the_next_domain_is_taken_for_lost_too() {
-    // Reclaims come in waves, 6 s apart, and a start takes 4 s. Waiting for the second notice left
-    // 40 % of the capacity for 4 s.
+fn another_domain_counts_as_lost_while_reclaimed_ones_cannot_be_replaced() {
+    // Reclaims come in waves, 6 s apart, and a start takes 4 s. Waiting for the second notice
+    // leaves 40 % of the capacity missing for 4 s.
     let mut planner = planner();
-    let stands = [stand("a", 0.85, 0, 0), stand("b", 1.2, 4, 0), stand("c", 1.0, 4, 0)];
+    let statuses = [status("a", 0.85, 0, 0), status("b", 1.2, 4, 0), status("c", 1.0, 4, 0)];
 
-    let first = planner.round(&stands, 7.0, true);
-    let second = planner.round(&stands, 7.0, true);
+    let first = planner.round(&statuses, 7.0, true);
+    let second = planner.round(&statuses, 7.0, true);
 
     assert!(count(&first, "a", Reclaimable).is_some_and(|count| count > 0));
     assert_eq!(count(&second, "a", OnDemand), Some(3), "{second:?}");
 }
 
-/// Callers of a whole service wait for 4 s: two of four domains were reclaimed within a second, and 6 s
-/// later the two others. While one domain was taken for lost, half of the engines needed were on their way
-/// by then; a wave of two may be followed by another of two.
+/// Callers of a whole service wait for 4 s: two of four domains are reclaimed within a second, and
+/// the two others 6 s later. If only one more domain counts as lost, half of the engines needed are
+/// starting by then; a wave of two may be followed by another of two.
 #[test]
-fn as_many_domains_as_the_last_wave_took_are_taken_for_lost_next() {
+fn as_many_domains_as_the_last_wave_reclaimed_count_as_lost() {
     let mut planner = planner();
     let four = |counts: [u32; 4]| {
         let domains = ["a", "b", "c", "d"].into_iter().zip(counts);
-        domains.map(|(name, count)| stand(name, 1.0, count, 0)).collect::<Vec<_>>()
+        domains.map(|(name, count)| status(name, 1.0, count, 0)).collect::<Vec<_>>()
     };
     planner.round(&four([5, 5, 4, 4]), 8.0, false);
     planner.round(&four([5, 0, 4, 4]), 8.0, true);
@@ -217,37 +224,37 @@
     assert_eq!(sum, 8, "{orders:?}");
 }
 
-/// Engines on demand are ordered beside reclaimable ones that all serve: calls to the platform got no
-/// answer for some seconds, and that was taken for a sign that none are to be had.
+/// On-demand engines are ordered beside reclaimable ones that all serve: calls to the platform get
+/// no answer for some seconds, and that counts as a refusal.
 #[test]
-fn a_call_without_an_answer_says_nothing_of_what_is_to_be_had() {
+fn an_unanswered_order_does_not_count_as_a_refusal() {
     let mut planner = planner();
-    let stands = [stand("a", 0.85, 3, 0), stand("b", 1.2, 3, 0), stand("c", 1.0, 3, 0)];
-    for order in planner.plan(&stands, Some(6.0)) {
-        planner.memory.note(&order, OrderEnd::Unknown, NOW);
+    let statuses = [status("a", 0.85, 3, 0), status("b", 1.2, 3, 0), status("c", 1.0, 3, 0)];
+    for order in planner.plan(&statuses, Some(6.0)) {
+        planner.history.note(&order, OrderOutcome::Unknown, NOW);
     }
 
-    let orders = planner.plan(&stands, Some(6.0));
+    let orders = planner.plan(&statuses, Some(6.0));
 
     assert!(orders.iter().all(|order| order.market != OnDemand || order.count == 0), "{orders:?}");
 }
 
 #[test]
-fn while_none_are_to_be_had_few_questions_are_asked() {
+fn few_orders_are_sent_while_none_can_be_filled() {
     let mut planner = planner();
-    let stands = [stand("a", 0.85, 0, 5), stand("b", 1.2, 0, 0), stand("c", 1.0, 0, 0)];
+    let statuses = [status("a", 0.85, 0, 5), status("b", 1.2, 0, 0), status("c", 1.0, 0, 0)];
 
     let asked: usize = (0..75)
-        .map(|_| planner.round(&stands, 5.0, true))
+        .map(|_| planner.round(&statuses, 5.0, true))
         .map(|orders| orders.iter().filter(|order| order.market == Reclaimable).count())
         .sum();
 
-    // 15 s: about one each 2.5 s.
+    // 15 s: about one every 2.5 s.
     assert!((4..=9).contains(&asked), "{asked}");
 }
 
 #[test]
-fn the_need_follows_work_and_places_and_remembers_its_peak() {
+fn the_need_follows_work_and_slots_and_keeps_its_peak() {
     let engine = EngineRule {
         slots: 12,
         memory_tokens: 600_000,
@@ -261,7 +268,7 @@
     assert!((work - 2.0 / 0.65).abs() < 0.01, "{work}");
     assert!((places - 10.0).abs() < 0.01, "{places}");
 
-    let mut need = ServiceNeed::default();
+    let mut need = PeakNeed::default();
     need.note(5.0, NOW);
     need.note(2.0, NOW + TimeSpan(6000));
     assert_eq!(need.peak(), 5.0);
@@ -270,14 +277,14 @@
     assert_eq!(need.peak(), 2.0);
 }
 
-/// Operators pay for twice the endpoints that there were: while nothing was known of the demand, what had been ordered counted
-/// as what was needed, and half as many again were ordered.
+/// Operators pay for twice the endpoints that there were: while the demand is unknown, ordered
+/// endpoints count as needed ones, and half as many again are ordered.
 #[test]
-fn what_was_ordered_is_no_sign_of_the_demand() {
+fn ordered_endpoints_do_not_raise_the_baseline() {
     let service = ServiceName::from("engine");
-    let mut memory = OrderMemory::default();
-    let stands = |each| vec![stand("a", 1.0, each, 0), stand("b", 1.0, each, 0)];
-    memory.note_stand(&service, &stands(10), NOW);
+    let mut history = OrderHistory::default();
+    let statuses = |each| vec![status("a", 1.0, each, 0), status("b", 1.0, each, 0)];
+    history.note_status(&service, &statuses(10), NOW);
     let order = ScaleOrder {
         service: service.clone(),
         domain: "a".into(),
@@ -285,16 +292,16 @@
         count: 15,
     };
 
-    memory.note(&order, OrderEnd::Made, NOW);
-    memory.note_stand(&service, &stands(15), NOW + TimeSpan(5000));
+    history.note(&order, OrderOutcome::Made, NOW);
+    history.note_status(&service, &statuses(15), NOW + TimeSpan(5000));
 
-    assert_eq!(memory.baseline(&service), 20);
+    assert_eq!(history.baseline(&service), 20);
 }
 
-/// Callers wait in the waves of a deployment whose engines have few places: a step of such an engine brings a fifth of the
-/// tokens, and too few engines were ordered.
+/// Callers wait in the waves of a deployment whose engines have few slots: a step of such an engine
+/// produces a fifth of the tokens, and too few engines are ordered.
 #[test]
-fn engines_with_few_places_are_needed_in_greater_number() {
+fn more_engines_are_needed_if_they_have_few_slots() {
     let engine = |slots| EngineRule {
         slots,
         memory_tokens: 600_000,
@@ -313,13 +320,14 @@
     assert!((few - 72.6).abs() < 1.0, "{few}");
 }
 
-/// No endpoint is ordered while most of a service's take next to nothing: they are listed, and count as whole ones.
+/// No endpoint is ordered although most endpoints of a service accept next to nothing: they are
+/// listed, and count as whole ones.
 #[test]
-fn limited_endpoints_count_as_what_they_take() {
+fn limited_endpoints_count_by_their_rate_limit() {
     let limits = |per_s: [f64; 3]| per_s.into_iter().map(RequestRate::per_second);
 
     // 60 requests a second need 6 engines: 10 a second each.
-    assert!((lost_to_limits(limits([1.0, 5.0, 50.0]), 60.0, 6.0) - 1.4).abs() < 1e-9);
-    assert!(lost_to_limits(limits([1.0, 1.0, 1.0]), 0.0, 3.0).abs() < 1e-9);
-    assert!((lost_to_limits(limits([0.5, 0.5, 0.5]), 1.0, 0.2) - 1.5).abs() < 1e-9);
+    assert!((engines_lost_to_limits(limits([1.0, 5.0, 50.0]), 60.0, 6.0) - 1.4).abs() < 1e-9);
+    assert!(engines_lost_to_limits(limits([1.0, 1.0, 1.0]), 0.0, 3.0).abs() < 1e-9);
+    assert!((engines_lost_to_limits(limits([0.5, 0.5, 0.5]), 1.0, 0.2) - 1.5).abs() < 1e-9);
 }
--- a/tests/all/placing.rs
+++ b/tests/all/placing.rs
@@ -5,7 +5,7 @@
 use oleandertack::call::PromptPart;
 use oleandertack::kind::hash::mix_bits;
 use oleandertack::kind::{ClockTime, DomainName, ServiceName, TimeSpan};
-use oleandertack::pace::{ASSUMED_PER_MS, PaceBook, ReadSample, join_paces};
+use oleandertack::pace::{ASSUMED_PER_MS, PaceEstimator, ReadSample, merge_paces};
 use oleandertack::place::{
     EndpointBoard, EndpointKey, OfferedRate, PlacementRequest, PrefixRecord, ServiceLoad, WorkLoad,
     choose_endpoint, queue_limit, shed_delay,
@@ -102,7 +102,7 @@
         random % most
     };
     let objective = plan.objective();
-    let mut paces = PaceBook::default();
+    let mut paces = PaceEstimator::default();
     let mut owed = 0.0;
     let mut read_per_ms = if plan.observes { ASSUMED_PER_MS } else { plan.read_per_ms };
     for ms in 0..plan.seconds * 1000 {
@@ -113,7 +113,7 @@
         told.into_iter().for_each(|at| report(&mut processes, &mut reports, at));
         // The estimates of all processes are merged four times a second, as in a digest.
         if plan.observes && ms % REPORT_MS == 0 {
-            read_per_ms = join_paces(paces.pace().into_iter())
+            read_per_ms = merge_paces(paces.pace().into_iter())
                 .map_or(read_per_ms, |pace| f64::from(pace.per_ms));
         }
         let limit = if plan.sheds { queue_limit(objective, 0, read_per_ms) } else { u64::MAX };
@@ -189,7 +189,7 @@
 fn finish(
     in_flight: &mut Vec<PendingRead>,
     processes: &mut [Process],
-    paces: &mut PaceBook,
+    paces: &mut PaceEstimator,
     now_ms: f64,
 ) {
     in_flight.retain(|reading| {
