--- a/crates/limit/src/rate/allocator.rs
+++ b/crates/limit/src/rate/allocator.rs
@@ -147,25 +147,25 @@
         }
         let rate = endpoint.rate.per_s() * part;
         let is_due =
-            |handed: &GrantedRate| handed.chosen_at.is_none_or(|at| now - at >= SELECTION_PERIOD);
+            |granted: &GrantedRate| granted.chosen_at.is_none_or(|at| now - at >= SELECTION_PERIOD);
         if self.rates.get(&endpoint.key).is_none_or(is_due) {
             let holders = self.choose(endpoint, (rate, now));
-            let handed = self.rates.entry(endpoint.key).or_default();
-            handed.holders = holders;
-            handed.chosen_at = Some(now);
+            let granted = self.rates.entry(endpoint.key).or_default();
+            granted.holders = holders;
+            granted.chosen_at = Some(now);
         }
-        let handed = self.rates.get_mut(&endpoint.key)?;
-        handed.leases.retain(|lease| lease.ends_at > now);
-        if !handed.holders.contains(member) {
+        let granted = self.rates.get_mut(&endpoint.key)?;
+        granted.leases.retain(|lease| lease.ends_at > now);
+        if !granted.holders.contains(member) {
             return None;
         }
-        let count = handed.holders.len() as f64;
-        let per_s = (shared_rate(rate, count) / count).min(rate - handed.held_by_others(member));
+        let count = granted.holders.len() as f64;
+        let per_s = (shared_rate(rate, count) / count).min(rate - granted.held_by_others(member));
         if per_s < MIN_LEASE_RATE {
             return None;
         }
         let ends_at = now + ALLOTMENT_LIFETIME;
-        handed.leases.push(GrantedLease { member: member.clone(), per_s, ends_at });
+        granted.leases.push(GrantedLease { member: member.clone(), per_s, ends_at });
         Some(per_s)
     }
 
--- a/crates/limit/src/rate/bucket.rs
+++ b/crates/limit/src/rate/bucket.rs
@@ -7,12 +7,12 @@
 /// demand the next caller arrives within this time.
 pub(super) const BURST_TIME: TimeSpan = TimeSpan(200);
 
-/// What the first lease on an endpoint's incarnation adds, in requests. With nothing, a rate of 0.3 a
-/// second stays unused for seconds when processes restart one after another; with a whole request,
-/// changes of holders during report loss exceed the bound.
+/// What the first lease on an endpoint's incarnation adds, in requests. With nothing, a rate of 0.3
+/// a second stays unused for seconds when processes restart one after another; with a whole
+/// request, changes of holders during report loss exceed the bound.
 const INITIAL_LEVEL: f64 = 0.5;
 
-/// A process's part of an endpoint's rate: one request whenever enough time has passed since the
+/// A process's share of an endpoint's rate: one request whenever enough time has passed since the
 /// last.
 ///
 /// All times are by a clock that keeps running while the machine is suspended. The bucket fills
--- a/crates/place/src/choose.rs
+++ b/crates/place/src/choose.rs
@@ -106,8 +106,8 @@
     let candidates = if healthy.is_empty() { available } else { healthy };
     let home = home_endpoint(&candidates, request);
     let best = |few: Vec<(EndpointKey, &EndpointFact)>| {
-        let weighed = few.into_iter().map(|(key, fact)| score(key, fact, home, prefixes, request));
-        weighed.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, choice)| choice)
+        let scored = few.into_iter().map(|(key, fact)| score(key, fact, home, prefixes, request));
+        scored.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, choice)| choice)
     };
     if !request.engine {
         return best(candidates);
@@ -163,15 +163,18 @@
     const LONG_PROMPT_SAMPLE: usize = 8;
     let own = request.prompt_tokens.saturating_sub(shared_tokens(shared_parts(request.parts)));
     let own = reading_work(own);
-    let looks = if paused_part(own, request) > 0.0 { LONG_PROMPT_SAMPLE } else { SAMPLE };
+    let sample_size = if paused_part(own, request) > 0.0 { LONG_PROMPT_SAMPLE } else { SAMPLE };
     let draw = |fact: &EndpointFact| mix_bits(request.salt ^ fact.entry.instance.stable_hash());
     let mut drawn = candidates;
     drawn.sort_by_cached_key(|(key, fact)| (Some(*key) != home, !fact.is_told, draw(fact)));
     // A limited engine that accepts a request now is idle, and its capacity is lost if no request
     // considers it.
-    let limited =
-        drawn.iter().skip(looks).find(|(_, fact)| fact.declared.limit.rate.is_some()).copied();
-    drawn.truncate(looks);
+    let limited = drawn
+        .iter()
+        .skip(sample_size)
+        .find(|(_, fact)| fact.declared.limit.rate.is_some())
+        .copied();
+    drawn.truncate(sample_size);
     drawn.extend(limited);
     drawn
 }
--- a/crates/place/src/cost.rs
+++ b/crates/place/src/cost.rs
@@ -9,8 +9,8 @@
 /// behind it whose text they evict from the engine's memory.
 const REREAD_WEIGHT: f64 = 2.0;
 /// What a running stream costs the others of its engine: it lengthens a step by about 0.08 ms
-/// (users' sheets), and an event of 5 tokens takes 5 steps; added up over the 10 or so streams that
-/// share the engine, about 2 ms each.
+/// (users' sheets), and an event of 5 tokens takes 5 steps; spread over the 10 or so streams that
+/// it affects, about 2 ms each.
 const STREAM_COST_MS: f64 = 2.0;
 /// The time that a plain request takes at an idle endpoint.
 const PLAIN_WORK_MS: f64 = 15.0;
--- a/tests/all/keeping.rs
+++ b/tests/all/keeping.rs
@@ -42,7 +42,7 @@
 fn counted(process: &FrontProcess) -> Option<(u64, u64)> {
     let mesh = process.node.mesh.borrow();
     let ledger = mesh.collector.as_ref()?.ledger()?;
-    ledger.windows().map(|(_, stand)| (stand.spent, stand.open)).next()
+    ledger.windows().map(|(_, status)| (status.spent, status.open)).next()
 }
 
 fn has_ledger(process: &FrontProcess) -> bool {
@@ -127,8 +127,8 @@
         let ledgers = ledgers(&group);
         assert_eq!(ledgers.len(), 1, "{ledgers:?}");
         let spent = ledgers[0].0;
-        let told = PROCESSES as u64 * TOKENS;
-        assert!((told..told + RATE * 3).contains(&spent), "{ledgers:?}");
+        let reported = PROCESSES as u64 * TOKENS;
+        assert!((reported..reported + RATE * 3).contains(&spent), "{ledgers:?}");
     });
 }
 
@@ -145,9 +145,9 @@
 
         let ledgers = ledgers(&group);
         assert_eq!(ledgers.len(), 1, "{ledgers:?}");
-        let (spent, told) = (ledgers[0].0, PROCESSES as u64 * TOKENS);
-        let promised = RATE * 3 + told;
-        assert!((told..=told + promised).contains(&spent), "{ledgers:?}");
+        let (spent, reported) = (ledgers[0].0, PROCESSES as u64 * TOKENS);
+        let promised = RATE * 3 + reported;
+        assert!((reported..=reported + promised).contains(&spent), "{ledgers:?}");
         assert!(group.processes.iter().all(spend), "each holds an allotment again");
     });
 }
@@ -217,10 +217,10 @@
 
             let ledgers = ledgers(&group);
             assert_eq!(ledgers.len(), 1, "{ledgers:?}");
-            let (spent, told) = (ledgers[0].0, PROCESSES as u64 * TOKENS);
+            let (spent, reported) = (ledgers[0].0, PROCESSES as u64 * TOKENS);
             // The burst, 1.2 s at the account's rate, and what the processes held.
             let promised = RATE * 3;
-            assert!(spent <= told + promised, "{offset}: {ledgers:?}");
+            assert!(spent <= reported + promised, "{offset}: {ledgers:?}");
         }
     });
 }
--- a/tests/all/pauses.rs
+++ b/tests/all/pauses.rs
@@ -131,7 +131,7 @@
 struct PauseSim {
     processes: Vec<PlacingProcess>,
     engines: Vec<StepEngine>,
-    told: Vec<Vec<WorkLoad>>,
+    reported: Vec<Vec<WorkLoad>>,
     sums: Vec<WorkLoad>,
     random: u64,
 }
@@ -141,7 +141,7 @@
         PauseSim {
             processes: (0..PROCESSES).map(|_| process()).collect(),
             engines: (0..ENGINES).map(StepEngine::new).collect(),
-            told: vec![vec![WorkLoad::default(); ENGINES]; PROCESSES],
+            reported: vec![vec![WorkLoad::default(); ENGINES]; PROCESSES],
             sums: vec![WorkLoad::default(); ENGINES],
             random: 7,
         }
@@ -163,13 +163,13 @@
         let process = &mut self.processes[at];
         for (engine, key) in process.keys.iter().enumerate() {
             let fact = process.board.get_mut(*key).expect("known");
-            let (told, sum) = (&mut self.told[at][engine], &mut self.sums[engine]);
-            sum.requests = sum.requests + fact.own.requests - told.requests;
-            sum.unread_tokens = sum.unread_tokens + fact.own.unread_tokens - told.unread_tokens;
-            *told = fact.own;
+            let (reported, sum) = (&mut self.reported[at][engine], &mut self.sums[engine]);
+            sum.requests = sum.requests + fact.own.requests - reported.requests;
+            sum.unread_tokens = sum.unread_tokens + fact.own.unread_tokens - reported.unread_tokens;
+            *reported = fact.own;
             fact.others = WorkLoad {
-                requests: sum.requests - told.requests,
-                unread_tokens: sum.unread_tokens - told.unread_tokens,
+                requests: sum.requests - reported.requests,
+                unread_tokens: sum.unread_tokens - reported.unread_tokens,
             };
         }
     }
@@ -240,8 +240,8 @@
     let mut pauses = Vec::new();
     for ms in 0..seconds * 1000 {
         pauses.extend(play.work(ms));
-        let told = (0..PROCESSES).filter(|at| (ms + *at as u64 * 37).is_multiple_of(REPORT_MS));
-        told.for_each(|at| play.report(at));
+        let due = (0..PROCESSES).filter(|at| (ms + *at as u64 * 37).is_multiple_of(REPORT_MS));
+        due.for_each(|at| play.report(at));
         if play.draw() < 0.095 {
             let tokens = play.length(6610.0, 1.4, 54_600.0) + 600.0;
             let events = play.length(54.6, 0.44, 160.0) as u32;
--- a/tests/all/placing.rs
+++ b/tests/all/placing.rs
@@ -108,9 +108,9 @@
     for ms in 0..plan.seconds * 1000 {
         let now = START + ms;
         finish(&mut in_flight, &mut processes, &mut paces, ms as f64);
-        let told: Vec<usize> =
+        let due: Vec<usize> =
             (0..PROCESSES).filter(|at| (now + *at as u64 * 37).is_multiple_of(REPORT_MS)).collect();
-        told.into_iter().for_each(|at| report(&mut processes, &mut reports, at));
+        due.into_iter().for_each(|at| report(&mut processes, &mut reports, at));
         // The estimates of all processes are merged four times a second, as in a digest.
         if plan.observes && ms % REPORT_MS == 0 {
             read_per_ms = merge_paces(paces.pace().into_iter())
@@ -165,13 +165,13 @@
             fact.own.unread_tokens += choice.unread;
             let engine = one.keys.iter().position(|key| *key == choice.key).expect("known");
             let last = kept[engine].insert(parts[0].id, now);
-            let lies_there = last.is_some_and(|at| now - at < RETENTION_MS);
-            let unread = own + if lies_there { 0 } else { shared };
+            let is_cached = last.is_some_and(|at| now - at < RETENTION_MS);
+            let unread = own + if is_cached { 0 } else { shared };
             let begin = free_at[engine].max(ms as f64);
             free_at[engine] = begin + unread as f64 / plan.read_per_ms * plan.slowness;
             played.reading_ms.push(free_at[engine] - ms as f64);
             played.shared_tokens += shared;
-            played.read_again += if lies_there { 0 } else { shared };
+            played.read_again += if is_cached { 0 } else { shared };
             let done_ms = free_at[engine];
             in_flight.push(PendingRead {
                 process: at,
--- a/tests/all/quota.rs
+++ b/tests/all/quota.rs
@@ -70,7 +70,7 @@
 /// window as a fraction of what is allowed, and a log of the events.
 fn play_scenario(random: &mut Unstructured<'_>) -> arbitrary::Result<(f64, Vec<String>)> {
     let mut group = loaded_group(None);
-    let mut story = Vec::new();
+    let mut log = Vec::new();
     for _ in 0..random.int_in_range(2..=8)? {
         let change = *random.choose(&EVENTS)?;
         let ms = random.int_in_range(50..=3_000)?;
@@ -78,9 +78,9 @@
             / if random.arbitrary()? { 1.0 } else { 20.0 };
         apply(&mut group, change, random)?;
         group.play(ms, times);
-        story.push(format!("{change:?}, {times} times for {ms} ms"));
+        log.push(format!("{change:?}, {times} times for {ms} ms"));
     }
-    Ok((worst_part(&group), story))
+    Ok((worst_part(&group), log))
 }
 
 /// Runs the scenario that the seed determines; the same each time.
@@ -99,8 +99,8 @@
 #[test]
 fn no_sequence_of_membership_changes_exceeds_the_limit() {
     for seed in seeds() {
-        let (worst, story) = draw_scenario(seed);
-        assert!(worst <= 1.0, "seed {seed}: {worst:.3} of what is allowed: {story:#?}");
+        let (worst, log) = draw_scenario(seed);
+        assert!(worst <= 1.0, "seed {seed}: {worst:.3} of what is allowed: {log:#?}");
     }
 }
 
