--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -80,11 +80,11 @@
     let first = view.choose_collector(TRUE_NOW, NOW).id;
 
     names(9).iter().for_each(|name| view.take(member(name), true, NOW));
-    let in_turn = view.choose_collector(TRUE_NOW + TimeSpan(100), NOW + TimeSpan(100)).id;
-    let next_turn = view.choose_collector(TRUE_NOW + TimeSpan(5000), NOW + TimeSpan(5000)).id;
+    let in_term = view.choose_collector(TRUE_NOW + TimeSpan(100), NOW + TimeSpan(100)).id;
+    let next_term = view.choose_collector(TRUE_NOW + TimeSpan(5000), NOW + TimeSpan(5000)).id;
 
-    assert_eq!(in_turn, first);
-    assert_eq!(next_turn, choices(&mut views(9), TRUE_NOW, NOW)[0]);
+    assert_eq!(in_term, first);
+    assert_eq!(next_term, choices(&mut views(9), TRUE_NOW, NOW)[0]);
 }
 
 #[test]
@@ -93,14 +93,14 @@
     // collector among themselves, while the other four kept theirs for the rest of the term.
     let first = choices(&mut views(9), TRUE_NOW, NOW)[0].clone();
     let kept = names(9).into_iter().rev().find(|name| *name != first.as_str()).expect("another");
-    let mut begun = views(9).remove(0);
+    let mut starting = views(9).remove(0);
 
-    begun.follow_collector(member(&kept), TRUE_NOW, NOW);
-    let in_turn = begun.choose_collector(TRUE_NOW + TimeSpan(10), NOW + TimeSpan(10)).id;
-    let next_turn = begun.choose_collector(TRUE_NOW + TimeSpan(5000), NOW + TimeSpan(5000)).id;
+    starting.follow_collector(member(&kept), TRUE_NOW, NOW);
+    let in_term = starting.choose_collector(TRUE_NOW + TimeSpan(10), NOW + TimeSpan(10)).id;
+    let next_term = starting.choose_collector(TRUE_NOW + TimeSpan(5000), NOW + TimeSpan(5000)).id;
 
-    assert_eq!(in_turn.as_str(), kept);
-    assert_eq!(next_turn, first);
+    assert_eq!(in_term.as_str(), kept);
+    assert_eq!(next_term, first);
 }
 
 /// Guards against a collector on a slow link: one of 83 processes, with a link of 10 Mbit/s,
@@ -434,19 +434,19 @@
 /// then collected alone.
 #[test]
 fn a_process_asked_before_its_own_clock_reaches_the_term_collects() {
-    let turn_begin = ClockTime(TRUE_NOW.0 / 5000 * 5000 + 5000);
-    let first = choices(&mut views(4), turn_begin, NOW)[0].clone();
+    let term_begin = ClockTime(TRUE_NOW.0 / 5000 * 5000 + 5000);
+    let first = choices(&mut views(4), term_begin, NOW)[0].clone();
     let last = names(4).iter().map(|name| InstanceId::from(name.as_str())).find(|id| *id != first);
     let mut asked = views(4).into_iter().find(|view| view.me().id == first).expect("one of them");
-    let before = ClockTime(turn_begin.0 - 10);
+    let before = ClockTime(term_begin.0 - 10);
     asked.follow_collector(member(last.expect("another").as_str()), before, NOW);
 
-    asked.enter_term(turn_begin.0 / 5000, before, NOW);
+    asked.enter_term(term_begin.0 / 5000, before, NOW);
 
     assert!(asked.collects());
     // The choice holds if its own clock has not reached the term at its next report.
-    assert_eq!(asked.choose_collector(ClockTime(turn_begin.0 - 5), NOW + TimeSpan(5)).id, first);
-    assert_eq!(asked.choose_collector(turn_begin + TimeSpan(100), NOW + TimeSpan(110)).id, first);
+    assert_eq!(asked.choose_collector(ClockTime(term_begin.0 - 5), NOW + TimeSpan(5)).id, first);
+    assert_eq!(asked.choose_collector(term_begin + TimeSpan(100), NOW + TimeSpan(110)).id, first);
 }
 
 /// A process whose clock is wrong by minutes asks another to collect in a term that is far away.
--- a/tests/all/size.rs
+++ b/tests/all/size.rs
@@ -31,9 +31,9 @@
 }
 
 fn busy_loads(process: usize, endpoints: usize) -> Vec<EndpointLoad> {
-    let load = |turn: usize| {
-        let lot = mix_bits((process * BUSY_EACH + turn) as u64);
-        let number = (process * ENDPOINTS_EACH + turn) % endpoints;
+    let load = |index: usize| {
+        let lot = mix_bits((process * BUSY_EACH + index) as u64);
+        let number = (process * ENDPOINTS_EACH + index) % endpoints;
         EndpointLoad {
             endpoint: endpoint_hash(&endpoint(number), 7),
             requests: 1 + (lot % 5) as u32,
