--- a/crates/explore/src/leases.rs
+++ b/crates/explore/src/leases.rs
@@ -3,7 +3,7 @@
 
 use crate::search::SearchModel;
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
-use oleander_lease::{LeaseAction, LeaseKeeper, LeaseRecord, LeaseSaid};
+use oleander_lease::{LeaseAction, LeaseManager, LeaseRecord, LeaseReply};
 
 /// A mistake put in on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,14 +52,14 @@
 #[derive(Clone, Debug)]
 struct SentCall {
     action: LeaseAction,
-    said: Option<LeaseSaid>,
+    said: Option<LeaseReply>,
 }
 
 /// Everything that can differ.
 #[derive(Clone, Debug)]
 pub struct LeaseState {
     now: u64,
-    keepers: Vec<LeaseKeeper>,
+    keepers: Vec<LeaseManager>,
     calls: Vec<Option<SentCall>>,
     object: Option<(u64, LeaseRecord)>,
     next_version: u64,
@@ -97,17 +97,17 @@
         ClockTime(100_000 + state.now * UNIT)
     }
 
-    fn execute(state: &mut LeaseState, action: &LeaseAction) -> LeaseSaid {
+    fn execute(state: &mut LeaseState, action: &LeaseAction) -> LeaseReply {
         match action {
-            LeaseAction::Wait => LeaseSaid::NotDone,
-            LeaseAction::Read => LeaseSaid::Read(state.object.clone()),
+            LeaseAction::Wait => LeaseReply::NotDone,
+            LeaseAction::Read => LeaseReply::Read(state.object.clone()),
             LeaseAction::Write { version, record } => {
                 if state.object.as_ref().map(|(version, _)| *version) != *version {
-                    return LeaseSaid::Changed;
+                    return LeaseReply::Changed;
                 }
                 state.next_version += 1;
                 state.object = Some((state.next_version, record.clone()));
-                LeaseSaid::Written(state.next_version)
+                LeaseReply::Written(state.next_version)
             }
         }
     }
@@ -150,8 +150,8 @@
             LeaseBug::CountFromAnswer => TimeSpan(2 * LASTS),
             _ => TimeSpan(LASTS),
         };
-        let keeper = |name: &str| LeaseKeeper::new(InstanceId::from(name), 1, lasts);
-        let patient = LeaseKeeper::new(InstanceId::from("b"), 1, TimeSpan(LASTS));
+        let keeper = |name: &str| LeaseManager::new(InstanceId::from(name), 1, lasts);
+        let patient = LeaseManager::new(InstanceId::from("b"), 1, TimeSpan(LASTS));
         LeaseState {
             now: 0,
             keepers: vec![keeper("a"), patient],
@@ -234,7 +234,7 @@
                 next.faults += 1;
                 if let Some(call) = next.calls[keeper].take() {
                     let was_read = call.action == LeaseAction::Read;
-                    let said = if was_read { LeaseSaid::NotDone } else { LeaseSaid::Unknown };
+                    let said = if was_read { LeaseReply::NotDone } else { LeaseReply::Unknown };
                     next.keepers[keeper].said(said, now);
                 }
             }
@@ -283,9 +283,9 @@
                 view.version.map(version),
                 view.record.as_ref().map(record),
                 view.unchanged,
-                view.asked_before,
+                view.pending_for,
                 view.held_for,
-                view.waits_for
+                view.next_call_in
             ));
             text.push_str(&call_identity(call.as_ref(), (&version, &record)));
         }
@@ -318,7 +318,7 @@
         other => format!("{other:?}"),
     };
     let said = match &call.said {
-        Some(LeaseSaid::Written(at)) => format!("written {}", version(*at)),
+        Some(LeaseReply::Written(at)) => format!("written {}", version(*at)),
         other => format!("{other:?}"),
     };
     format!("{asked} {said}")
--- a/crates/fleetd/src/keep.rs
+++ b/crates/fleetd/src/keep.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use oleander_fleet::{PlanObject, plan_name};
 use oleander_kind::{ClockTime, ResultCode, ServiceName};
-use oleander_lease::{LeaseAction, LeaseKeeper, LeaseRecord, LeaseSaid};
+use oleander_lease::{LeaseAction, LeaseManager, LeaseRecord, LeaseReply};
 use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionGuard};
 
 /// Carries out one action of a lease keeper and tells it what the store said. `read_now` is asked
@@ -11,35 +11,35 @@
 pub async fn step_lease(
     store: &HttpStore,
     name: &str,
-    (keeper, action): (&mut LeaseKeeper, LeaseAction),
+    (keeper, action): (&mut LeaseManager, LeaseAction),
     read_now: impl Fn() -> ClockTime,
 ) {
     let said = match action {
         LeaseAction::Wait => return,
         LeaseAction::Read => match store.read(name).await {
             Ok(found) => read_record(found),
-            Err(_) => LeaseSaid::NotDone,
+            Err(_) => LeaseReply::NotDone,
         },
         LeaseAction::Write { version, record } => {
             let bytes = Bytes::from(serde_json::to_vec(&record).unwrap_or_default());
             match store.write(name, VersionGuard::of(version), bytes).await {
-                Ok(version) => LeaseSaid::Written(version),
-                Err(PlatError::OutcomeUnknown(_)) => LeaseSaid::Unknown,
-                Err(fault) if fault.code() == ResultCode::StoreConflict => LeaseSaid::Changed,
-                Err(_) => LeaseSaid::NotDone,
+                Ok(version) => LeaseReply::Written(version),
+                Err(PlatError::OutcomeUnknown(_)) => LeaseReply::Unknown,
+                Err(fault) if fault.code() == ResultCode::StoreConflict => LeaseReply::Changed,
+                Err(_) => LeaseReply::NotDone,
             }
         }
     };
     keeper.said(said, read_now());
 }
 
-fn read_record(found: Option<oleander_plat::StoredObject>) -> LeaseSaid {
+fn read_record(found: Option<oleander_plat::StoredObject>) -> LeaseReply {
     let Some(object) = found else {
-        return LeaseSaid::Read(None);
+        return LeaseReply::Read(None);
     };
     match serde_json::from_slice::<LeaseRecord>(&object.bytes) {
-        Ok(record) => LeaseSaid::Read(Some((object.version, record))),
-        Err(_) => LeaseSaid::NotDone,
+        Ok(record) => LeaseReply::Read(Some((object.version, record))),
+        Err(_) => LeaseReply::NotDone,
     }
 }
 
--- a/crates/fleetd/src/round.rs
+++ b/crates/fleetd/src/round.rs
@@ -13,7 +13,7 @@
 use oleander_fleet::plan::role_of;
 use oleander_fleet::{FleetAction, FleetView, PlanObject, StartIntent, plan_round};
 use oleander_kind::{EndpointRecord, InstanceId, ServiceName, TimeSpan};
-use oleander_lease::{LeaseKeeper, lease_name};
+use oleander_lease::{LeaseManager, lease_name};
 use oleander_plat::{
     CloudClient, EndpointList, EndpointOrder, HttpList, HttpStore, ObjectStore, OrderClient,
     OrderKind, PlatError, StartOrder, read_joined,
@@ -31,7 +31,7 @@
     /// Its metrics.
     pub meter: NodeMeter,
     gate: RefCell<BundleGate>,
-    leases: RefCell<BTreeMap<ServiceName, LeaseKeeper>>,
+    leases: RefCell<BTreeMap<ServiceName, LeaseManager>>,
     plans: RefCell<BTreeMap<ServiceName, KeptPlan>>,
     store: HttpStore,
     list: HttpList,
@@ -178,12 +178,12 @@
         }
     }
 
-    fn take_keeper(&self, service: &ServiceName) -> LeaseKeeper {
+    fn take_keeper(&self, service: &ServiceName) -> LeaseManager {
         let kept = self.leases.borrow_mut().remove(service);
         kept.unwrap_or_else(|| {
             let incarnation = self.clock.wall().0;
             let lasts = TimeSpan(self.settings.lease_ms);
-            LeaseKeeper::new(self.settings.instance.clone(), incarnation, lasts)
+            LeaseManager::new(self.settings.instance.clone(), incarnation, lasts)
         })
     }
 
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -8,7 +8,7 @@
 use crate::releases;
 use bytes::Bytes;
 use oleander_kind::{ClockTime, TimeSpan};
-use oleander_lease::{LeaseAction, LeaseKeeper, LeaseRecord, LeaseSaid};
+use oleander_lease::{LeaseAction, LeaseManager, LeaseRecord, LeaseReply};
 use oleander_mesh::{LeaseNotice, MeshCollector};
 use oleander_plat::{
     DutyPermit, DutyPort, DutyStamp, FeedGuard, FeedKind, FeedObject, FeedWrite, PlatError,
@@ -37,7 +37,7 @@
 /// The lease, shared by the tasks of the duties.
 pub struct DutyLease {
     node: Rc<FrontNode>,
-    keeper: RefCell<LeaseKeeper>,
+    keeper: RefCell<LeaseManager>,
 }
 
 /// How long a lease that could not be renewed because nobody reaches the store still stands. Nobody
@@ -73,8 +73,8 @@
         self.fence()?;
         let now = self.node.clock.lease_now();
         let mut keeper = self.keeper.borrow_mut();
-        let fence = match keeper.act(now, self.margin()) {
-            None if self.stands_overdue() => keeper.act_overdue(now, OVERDUE_TIME),
+        let fence = match keeper.fence_for_call(now, self.margin()) {
+            None if self.stands_overdue() => keeper.fence_for_overdue_call(now, OVERDUE_TIME),
             held => held,
         }?;
         Some(DutyStamp { holder: self.node.settings.instance.clone(), fence })
@@ -95,8 +95,8 @@
 pub async fn do_duties(node: Rc<FrontNode>, cloud: Rc<dyn DutyPort>) {
     let life = node.mesh.borrow().view.me().life;
     let lasts = TimeSpan(node.bounds().lease_ms);
-    let keeper = LeaseKeeper::new(node.settings.instance.clone(), life, lasts);
-    let keeper = keeper.inheriting().begun(node.clock.lease_now());
+    let keeper = LeaseManager::new(node.settings.instance.clone(), life, lasts);
+    let keeper = keeper.with_takeover().with_start(node.clock.lease_now());
     let lease = Rc::new(DutyLease { node: node.clone(), keeper: RefCell::new(keeper) });
     if node.bounds().usage_window_s > 0.0 {
         actix_rt::spawn(report_usage(node.clone(), cloud.clone(), lease.clone()));
@@ -124,7 +124,7 @@
 async fn keep_lease(node: &FrontNode, lease: &DutyLease) {
     let now = node.clock.lease_now();
     if let Some(notice) = node.mesh.borrow().lease.clone() {
-        lease.keeper.borrow_mut().hear(notice.revision, notice.record, now);
+        lease.keeper.borrow_mut().note_change(notice.revision, notice.record, now);
     }
     let succeeded = node.mesh.borrow().is_succeeded(node.clock.now());
     if node.mesh.borrow().view.me().leaving || succeeded {
@@ -160,37 +160,37 @@
     }
 }
 
-async fn read_lease(node: &FrontNode) -> LeaseSaid {
+async fn read_lease(node: &FrontNode) -> LeaseReply {
     match node.store.read(FeedKind::Leases, LEASE_NAME).await {
-        Ok(None) => LeaseSaid::Read(None),
+        Ok(None) => LeaseReply::Read(None),
         Ok(Some(object)) => said_of(node, &object),
         Err(fault) => not_done(node, &fault),
     }
 }
 
-fn said_of(node: &FrontNode, object: &FeedObject) -> LeaseSaid {
+fn said_of(node: &FrontNode, object: &FeedObject) -> LeaseReply {
     match serde_json::from_slice::<LeaseRecord>(&object.body) {
-        Ok(record) => LeaseSaid::Read(Some((object.revision, record))),
+        Ok(record) => LeaseReply::Read(Some((object.revision, record))),
         Err(fault) => {
             event!(node, LeaseFault; "fault" => fault.to_string());
-            LeaseSaid::NotDone
+            LeaseReply::NotDone
         }
     }
 }
 
-fn not_done(node: &FrontNode, fault: &PlatError) -> LeaseSaid {
+fn not_done(node: &FrontNode, fault: &PlatError) -> LeaseReply {
     event!(node, LeaseFault; "fault" => fault.to_string());
-    if fault.may_have_happened() { LeaseSaid::Unknown } else { LeaseSaid::NotDone }
+    if fault.may_have_happened() { LeaseReply::Unknown } else { LeaseReply::NotDone }
 }
 
-async fn write_lease(node: &FrontNode, version: Option<u64>, record: &LeaseRecord) -> LeaseSaid {
-    let Some(body) = encode(node, record) else { return LeaseSaid::NotDone };
+async fn write_lease(node: &FrontNode, version: Option<u64>, record: &LeaseRecord) -> LeaseReply {
+    let Some(body) = encode(node, record) else { return LeaseReply::NotDone };
     let guard = version.map_or(FeedGuard::Absent, FeedGuard::Is);
     match node.store.write(FeedKind::Leases, LEASE_NAME, guard, body).await {
-        Ok(FeedWrite::Made(revision)) => LeaseSaid::Written(revision),
+        Ok(FeedWrite::Made(revision)) => LeaseReply::Written(revision),
         Ok(FeedWrite::Refused(_)) => {
             event!(node, LeaseFault; "fault" => "another wrote it meanwhile");
-            LeaseSaid::Changed
+            LeaseReply::Changed
         }
         Err(fault) => not_done(node, &fault),
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,24 +1,24 @@
 //! Leases over the platform's object API, with fencing tokens.
 //!
 //! A shard of control work belongs to the process that holds its lease. The fencing token rises
-//! with every change of holder, and every order carries it, so that an endpoint that checks can
+//! with every change of holder and is part of every order, so that an endpoint that checks it can
 //! refuse the orders of a holder that was paused and superseded.
 
 use compact_str::CompactString;
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// What the lease object says.
+/// The content of a lease object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseRecord {
-    /// Who holds it; empty if nobody.
+    /// The holder; empty if there is none.
     pub holder: InstanceId,
-    /// Tells two lives of one holder apart.
+    /// The incarnation of the holder.
     pub incarnation: u64,
     /// The fencing token.
     pub fence: u64,
-    /// Counts renewals, so that a watcher sees that the holder lives.
+    /// Incremented with each renewal, so that others see that the holder is alive.
     pub renewals: u64,
 }
 
@@ -27,39 +27,39 @@
     format!("lease/{shard}").into()
 }
 
-/// What the lease keeper asks the store next.
+/// The next call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Nothing now.
+    /// No call now.
     Wait,
     /// Read the object.
     Read,
-    /// Write `record` if the version is still `version`.
+    /// Write `record` if the object's version is still `version`.
     Write {
-        /// The version read; none if there is no object.
+        /// The version read; `None` if there is no object.
         version: Option<u64>,
         /// The record.
         record: LeaseRecord,
     },
 }
 
-/// What the store said.
+/// The result of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LeaseSaid {
-    /// The object as read, with its version.
+pub enum LeaseReply {
+    /// The object and its version, as read.
     Read(Option<(u64, LeaseRecord)>),
-    /// The write was made; the new version.
+    /// The write succeeded and made this version.
     Written(u64),
-    /// The version was another.
+    /// The object had another version.
     Changed,
-    /// The call was refused or did not leave.
+    /// The call was refused or not sent.
     NotDone,
-    /// The write may have been made.
+    /// The write may have been carried out.
     Unknown,
 }
 
 #[derive(Clone, Debug)]
-struct SeenLease {
+struct ObservedLease {
     version: Option<u64>,
     record: LeaseRecord,
     changed_at: ClockTime,
@@ -71,130 +71,133 @@
     sent_at: ClockTime,
 }
 
-/// Keeps one lease, as a pure state machine over a monotonic clock.
+/// Manages one lease, as a pure state machine over a monotonic clock.
 ///
-/// Two clocks are never compared. The holder counts from *before* it sent a renewal; another
-/// process takes the lease only after it saw the object unchanged for the whole length on its own
-/// clock. The holder's end therefore always comes before anybody else's beginning, if clocks run
-/// at the same speed within [`CLOCK_MARGIN_PERCENT`].
+/// Clocks of two processes are never compared. The holder's lease runs from *before* it sent a
+/// renewal; another process takes the lease only after it has seen the object unchanged for the
+/// lease duration and a margin on its own clock. The old holder's lease therefore always ends
+/// before the new one's begins, provided that the clocks run at the same speed within
+/// [`CLOCK_MARGIN_PERCENT`].
 #[derive(Clone, Debug)]
-pub struct LeaseKeeper {
+pub struct LeaseManager {
     me: InstanceId,
     incarnation: u64,
-    lasts: TimeSpan,
-    inherits: bool,
-    seen: Option<SeenLease>,
-    /// The version that the last write replaced or failed to replace; news of it is old.
-    settled: Option<u64>,
+    duration: TimeSpan,
+    may_take_over: bool,
+    seen: Option<ObservedLease>,
+    /// The version that the last write replaced or failed to replace; notices of it are stale.
+    last_replaced: Option<u64>,
     pending: Option<PendingWrite>,
     held_until: ClockTime,
     next_at: ClockTime,
-    /// When this life began, if its calls count against those of an earlier one.
-    began_at: Option<ClockTime>,
-    last_act: Option<PastAct>,
+    /// When this incarnation started, if calls of an earlier one have to be considered.
+    started_at: Option<ClockTime>,
+    last_call: Option<LastCall>,
 }
 
-/// When this process last acted, and by which token.
+/// The time and fencing token of this process's last fenced call.
 #[derive(Clone, Copy, Debug)]
-struct PastAct {
+struct LastCall {
     fence: u64,
     at: ClockTime,
 }
 
-/// A keeper as it looks at one moment, with times as spans from it.
+/// The state at one moment, with times relative to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseView {
     /// The version last seen.
     pub version: Option<u64>,
     /// The record last seen.
     pub record: Option<LeaseRecord>,
-    /// How long the record is known to be unchanged; no longer than others wait.
+    /// How long the record has been unchanged, at most the time that other processes wait.
     pub unchanged: Option<TimeSpan>,
-    /// How long ago the open write was sent; no longer than the lease.
-    pub asked_before: Option<TimeSpan>,
-    /// How much longer the lease is held.
+    /// How long ago the pending write was sent, at most the lease duration.
+    pub pending_for: Option<TimeSpan>,
+    /// The remaining time of the lease.
     pub held_for: TimeSpan,
-    /// How long the keeper does nothing.
-    pub waits_for: TimeSpan,
+    /// The time until the next call.
+    pub next_call_in: TimeSpan,
 }
 
-/// How much longer than the lease others wait, for clocks that run at different speeds.
+/// How much longer than the lease other processes wait, to allow for clocks of different speeds.
 pub const CLOCK_MARGIN_PERCENT: u64 = 10;
 
-impl LeaseKeeper {
-    /// A keeper for process `me` in its life `incarnation`; the lease lasts `lasts`.
-    pub fn new(me: InstanceId, incarnation: u64, lasts: TimeSpan) -> Self {
-        LeaseKeeper {
+impl LeaseManager {
+    /// A manager for incarnation `incarnation` of process `me`; the lease lasts for `duration`.
+    pub fn new(me: InstanceId, incarnation: u64, duration: TimeSpan) -> Self {
+        LeaseManager {
             me,
             incarnation,
-            lasts,
-            inherits: false,
+            duration,
+            may_take_over: false,
             seen: None,
-            settled: None,
+            last_replaced: None,
             pending: None,
             held_until: ClockTime(0),
             next_at: ClockTime(0),
-            began_at: None,
-            last_act: None,
+            started_at: None,
+            last_call: None,
         }
     }
 
-    /// Takes the lease of an earlier life of the same process without waiting for its end.
+    /// Allows to take over the lease of an earlier incarnation of this process without waiting for
+    /// its end.
     ///
-    /// Only for work whose every call is fenced, done by processes of which the same name never
-    /// runs twice: what the earlier life left under way is refused once this life holds the lease.
-    /// Incarnations must rise from life to life. It saves the length of the lease after every
-    /// restart of the holder, the time in which nobody orders endpoints.
-    pub fn inheriting(mut self) -> Self {
-        self.inherits = true;
+    /// Only for work whose every call is fenced, and for processes of which no name ever runs twice
+    /// at a time: pending calls of the earlier incarnation are refused once this one holds the
+    /// lease. Incarnations must increase with each start. This saves the lease duration after every
+    /// restart of the holder, during which no endpoints are ordered.
+    pub fn with_takeover(mut self) -> Self {
+        self.may_take_over = true;
         self
     }
 
-    /// Says that this life began at `at`. An earlier one may have acted until then, and where another
-    /// process has held the lease since, this one does not act within the length of a lease from there.
-    pub fn begun(mut self, at: ClockTime) -> Self {
-        self.began_at = Some(at);
+    /// Sets the time at which this incarnation started. An earlier one may have made calls until
+    /// then; if another process has held the lease since, this one makes no calls for a lease
+    /// duration from `at`.
+    pub fn with_start(mut self, at: ClockTime) -> Self {
+        self.started_at = Some(at);
         self
     }
 
-    /// The fencing token, if the lease is held at `now` and for at least `needed` more.
+    /// The fencing token, if the lease is held at `now` and for at least `needed` longer.
     ///
-    /// An order to an endpoint that ignores fencing takes effect whenever it arrives. It is sent
-    /// only with `needed` at least the order's own time limit, so that it has arrived or been
-    /// given up before anybody else can hold the lease.
+    /// An order to an endpoint that ignores fencing takes effect whenever it arrives. It is
+    /// therefore only sent with `needed` no shorter than the order's own timeout: the order has
+    /// arrived or was given up before another process can hold the lease.
     pub fn fence(&self, now: ClockTime, needed: TimeSpan) -> Option<u64> {
         let held = now + needed < self.held_until;
         let mine = self.seen.as_ref().filter(|seen| self.is_mine(&seen.record))?;
         held.then_some(mine.record.fence)
     }
 
-    /// The fencing token for a call that leaves at `now`, with at least `needed` of the lease left.
+    /// The fencing token for a call sent at `now`, with at least `needed` of the lease left.
     ///
-    /// A process that gave the lease up and got it back from another does not act within the length
-    /// of a lease of its own last act: calls of one holder, another, and the first again in so short
-    /// a time look like two holders at once, whatever their tokens.
-    pub fn act(&mut self, now: ClockTime, needed: TimeSpan) -> Option<u64> {
+    /// A process that released the lease and got it back from another one makes no calls for a
+    /// lease duration after its own last call: calls of one holder, of another, and of the first
+    /// again within so short a time look like two simultaneous holders, whatever their tokens.
+    pub fn fence_for_call(&mut self, now: ClockTime, needed: TimeSpan) -> Option<u64> {
         let fence = self.fence(now, needed)?;
-        self.note_act(fence, now)
+        self.note_call(fence, now)
     }
 
-    /// The same by a lease that ran out, as for [`overdue_fence`](Self::overdue_fence).
-    pub fn act_overdue(&mut self, now: ClockTime, grace: TimeSpan) -> Option<u64> {
+    /// The same for an expired lease, see [`overdue_fence`](Self::overdue_fence).
+    pub fn fence_for_overdue_call(&mut self, now: ClockTime, grace: TimeSpan) -> Option<u64> {
         let fence = self.overdue_fence(now, grace)?;
-        self.note_act(fence, now)
+        self.note_call(fence, now)
     }
 
-    fn note_act(&mut self, fence: u64, now: ClockTime) -> Option<u64> {
-        let soon = |last: PastAct| last.fence != fence && now - last.at < self.lasts;
-        if self.last_act.is_some_and(soon) {
+    fn note_call(&mut self, fence: u64, now: ClockTime) -> Option<u64> {
+        let soon = |last: LastCall| last.fence != fence && now - last.at < self.duration;
+        if self.last_call.is_some_and(soon) {
             return None;
         }
-        self.last_act = Some(PastAct { fence, at: now });
+        self.last_call = Some(LastCall { fence, at: now });
         Some(fence)
     }
 
-    /// The fencing token of a lease that ran out less than `grace` ago and was not seen to change.
-    /// Only for calls that are fenced, while nobody can have taken the lease.
+    /// The fencing token of a lease that expired less than `grace` ago and has not been seen to
+    /// change. Only for fenced calls, at a time when no other process can have taken the lease.
     pub fn overdue_fence(&self, now: ClockTime, grace: TimeSpan) -> Option<u64> {
         let mine = self.seen.as_ref().filter(|seen| self.is_mine(&seen.record))?;
         (self.held_until > ClockTime(0) && now < self.held_until + grace)
@@ -210,27 +213,27 @@
         record.holder == self.me && record.incarnation == self.incarnation
     }
 
-    fn inherits_from(&self, record: &LeaseRecord) -> bool {
-        self.inherits && record.holder == self.me && record.incarnation < self.incarnation
+    fn is_own_earlier(&self, record: &LeaseRecord) -> bool {
+        self.may_take_over && record.holder == self.me && record.incarnation < self.incarnation
     }
 
-    /// The keeper as it looks at `now`. Two keepers with equal views decide alike from here on.
+    /// The state at `now`. Two managers with equal views make the same decisions from here on.
     pub fn view(&self, now: ClockTime) -> LeaseView {
         let seen = self.seen.as_ref();
         LeaseView {
             version: seen.and_then(|seen| seen.version),
             record: seen.map(|seen| seen.record.clone()),
-            unchanged: seen.map(|seen| (now - seen.changed_at).min(self.patience())),
-            asked_before: self
+            unchanged: seen.map(|seen| (now - seen.changed_at).min(self.takeover_wait())),
+            pending_for: self
                 .pending
                 .as_ref()
-                .map(|pending| (now - pending.sent_at).min(self.lasts)),
+                .map(|pending| (now - pending.sent_at).min(self.duration)),
             held_for: self.held_until - now,
-            waits_for: self.next_at - now,
+            next_call_in: self.next_at - now,
         }
     }
 
-    /// What to do at `now`.
+    /// The next call to make at `now`.
     pub fn tick(&mut self, now: ClockTime) -> LeaseAction {
         if self.pending.is_some() || now < self.next_at {
             return LeaseAction::Wait;
@@ -239,15 +242,15 @@
             return LeaseAction::Read;
         };
         let holder = seen.record.holder.as_str();
-        let free = holder.is_empty() || now - seen.changed_at >= self.patience();
-        if self.is_mine(&seen.record) || self.inherits_from(&seen.record) || free {
+        let free = holder.is_empty() || now - seen.changed_at >= self.takeover_wait();
+        if self.is_mine(&seen.record) || self.is_own_earlier(&seen.record) || free {
             return self.write(now);
         }
-        self.next_at = now + TimeSpan(self.lasts.0 / 4);
+        self.next_at = now + TimeSpan(self.duration.0 / 4);
         LeaseAction::Read
     }
 
-    /// Gives the lease back, so that a successor need not wait.
+    /// Releases the lease, so that a successor need not wait for its end.
     pub fn release(&mut self, now: ClockTime) -> LeaseAction {
         let Some(seen) = self.seen.clone() else {
             return LeaseAction::Wait;
@@ -257,13 +260,13 @@
         }
         self.held_until = ClockTime(0);
         let record = LeaseRecord { holder: InstanceId::default(), ..seen.record };
-        self.settled = seen.version;
+        self.last_replaced = seen.version;
         self.pending = Some(PendingWrite { record: record.clone(), sent_at: now });
         LeaseAction::Write { version: seen.version, record }
     }
 
-    fn patience(&self) -> TimeSpan {
-        TimeSpan(self.lasts.0 + self.lasts.0 * CLOCK_MARGIN_PERCENT / 100)
+    fn takeover_wait(&self) -> TimeSpan {
+        TimeSpan(self.duration.0 + self.duration.0 * CLOCK_MARGIN_PERCENT / 100)
     }
 
     fn write(&mut self, now: ClockTime) -> LeaseAction {
@@ -271,10 +274,10 @@
             return LeaseAction::Read;
         };
         let mine = self.is_mine(&seen.record);
-        let from_another = !mine && !self.inherits_from(&seen.record) && seen.record.fence > 0;
-        if from_another && self.last_act.is_none() {
-            // An earlier life may have acted until this one began.
-            self.last_act = self.began_at.map(|at| PastAct { fence: 0, at });
+        let from_another = !mine && !self.is_own_earlier(&seen.record) && seen.record.fence > 0;
+        if from_another && self.last_call.is_none() {
+            // An earlier incarnation may have made calls until this one started.
+            self.last_call = self.started_at.map(|at| LastCall { fence: 0, at });
         }
         let record = LeaseRecord {
             holder: self.me.clone(),
@@ -283,44 +286,45 @@
             renewals: seen.record.renewals + 1,
         };
         let version = seen.version;
-        self.settled = version;
+        self.last_replaced = version;
         self.pending = Some(PendingWrite { record: record.clone(), sent_at: now });
         LeaseAction::Write { version, record }
     }
 
-    /// Takes what the store said.
-    pub fn said(&mut self, said: LeaseSaid, now: ClockTime) {
+    /// Handles the result of a call to the store.
+    pub fn said(&mut self, reply: LeaseReply, now: ClockTime) {
         let pending = self.pending.take();
-        match said {
-            LeaseSaid::Read(found) => self.take_read(found, now),
-            LeaseSaid::Written(version) => self.take_written(version, pending, now),
-            LeaseSaid::Changed | LeaseSaid::Unknown => {
-                // Lost answers are settled by reading: the record names its writer. The lease
-                // length is not extended, because the write may not have been made.
+        match reply {
+            LeaseReply::Read(found) => self.handle_read(found, now),
+            LeaseReply::Written(version) => self.handle_written(version, pending, now),
+            LeaseReply::Changed | LeaseReply::Unknown => {
+                // A read resolves an unknown outcome, as the record names its writer. The lease is
+                // not extended, because the write may not have been made.
                 self.seen = None;
                 self.next_at = now;
             }
-            LeaseSaid::NotDone => self.next_at = now + TimeSpan(self.lasts.0 / 8),
+            LeaseReply::NotDone => self.next_at = now + TimeSpan(self.duration.0 / 8),
         }
     }
 
-    /// Takes the object as the holder told of it. News of an older version, and any news while a
-    /// call of its own is under way, changes nothing.
+    /// Applies a notice of the object from its holder. A notice of an older version, or one that
+    /// arrives while a call of this process is pending, is ignored.
     ///
-    /// News of the version that a write of its own was to replace is old too, however that write
-    /// ended: going by it again, a process whose write was refused would repeat it without end.
+    /// So is a notice of the version that this process's own last write was to replace, whatever
+    /// the outcome of that write: a process whose write was refused would otherwise repeat it
+    /// forever.
     ///
-    /// The time that the object stays unchanged counts from here, as if it had been read: the holder
-    /// wrote it earlier than anybody heard of it.
-    pub fn hear(&mut self, version: u64, record: LeaseRecord, now: ClockTime) {
+    /// The time for which the object is unchanged counts from now, as after a read: the holder
+    /// wrote it before any notice of it arrived.
+    pub fn note_change(&mut self, version: u64, record: LeaseRecord, now: ClockTime) {
         let seen = self.seen.as_ref().and_then(|seen| seen.version);
-        let known = seen.max(self.settled);
+        let known = seen.max(self.last_replaced);
         if self.pending.is_none() && known.is_none_or(|known| known < version) {
-            self.take_read(Some((version, record)), now);
+            self.handle_read(Some((version, record)), now);
         }
     }
 
-    fn take_read(&mut self, found: Option<(u64, LeaseRecord)>, now: ClockTime) {
+    fn handle_read(&mut self, found: Option<(u64, LeaseRecord)>, now: ClockTime) {
         let version = found.as_ref().map(|(version, _)| *version);
         let record = found.map(|(_, record)| record).unwrap_or_default();
         let same = self.seen.as_ref().is_some_and(|seen| seen.version == version);
@@ -328,16 +332,16 @@
             Some(seen) if same => seen.changed_at,
             _ => now,
         };
-        self.seen = Some(SeenLease { version, record, changed_at });
+        self.seen = Some(ObservedLease { version, record, changed_at });
     }
 
-    fn take_written(&mut self, version: u64, pending: Option<PendingWrite>, now: ClockTime) {
+    fn handle_written(&mut self, version: u64, pending: Option<PendingWrite>, now: ClockTime) {
         let Some(pending) = pending else { return };
         if self.is_mine(&pending.record) {
-            self.held_until = pending.sent_at + self.lasts;
+            self.held_until = pending.sent_at + self.duration;
         }
         self.seen =
-            Some(SeenLease { version: Some(version), record: pending.record, changed_at: now });
-        self.next_at = now + TimeSpan(self.lasts.0 / 3);
+            Some(ObservedLease { version: Some(version), record: pending.record, changed_at: now });
+        self.next_at = now + TimeSpan(self.duration.0 / 3);
     }
 }
--- a/tests/all/lease.rs
+++ b/tests/all/lease.rs
@@ -1,24 +1,24 @@
-//! Scenarios of the lease of the control work: who takes it, when, and with which token.
+//! Tests of the control-work lease: which process takes it, when, and with which token.
 
 use oleandertack::kind::{ClockTime, TimeSpan};
-use oleandertack::lease::{LeaseAction, LeaseKeeper, LeaseRecord, LeaseSaid};
+use oleandertack::lease::{LeaseAction, LeaseManager, LeaseRecord, LeaseReply};
 
-const LASTS: TimeSpan = TimeSpan(4000);
+const DURATION: TimeSpan = TimeSpan(4000);
 const START: ClockTime = ClockTime(100_000);
 
 fn record(holder: &str, incarnation: u64) -> LeaseRecord {
     LeaseRecord { holder: holder.into(), incarnation, fence: 3, renewals: 7 }
 }
 
-fn keeper(incarnation: u64) -> LeaseKeeper {
-    LeaseKeeper::new("front-0".into(), incarnation, LASTS).inheriting()
+fn manager(incarnation: u64) -> LeaseManager {
+    LeaseManager::new("front-0".into(), incarnation, DURATION).with_takeover()
 }
 
-/// The keeper after it read `held` at [`START`].
-fn reader(mut keeper: LeaseKeeper, held: LeaseRecord) -> LeaseKeeper {
-    assert_eq!(keeper.tick(START), LeaseAction::Read);
-    keeper.said(LeaseSaid::Read(Some((5, held))), START);
-    keeper
+/// The manager after it has read `held` at [`START`].
+fn reader(mut manager: LeaseManager, held: LeaseRecord) -> LeaseManager {
+    assert_eq!(manager.tick(START), LeaseAction::Read);
+    manager.said(LeaseReply::Read(Some((5, held))), START);
+    manager
 }
 
 fn written(action: LeaseAction) -> Option<LeaseRecord> {
@@ -28,174 +28,175 @@
     }
 }
 
-/// Every process is killed at once and started again. The holder of the lease collects again after
-/// a second, finds the lease of its earlier life in the store and waits for its end. Meanwhile
-/// nobody orders endpoints, and if the store falls silent then, nobody does until it is back.
-/// The process must take over from its own earlier life at once, under a higher token.
+/// After a restart of all processes the lease holder collects again within a second and finds the
+/// lease of its earlier incarnation in the store. If it waited for the end of that lease, no
+/// endpoints would be ordered meanwhile, nor during a store outage that begins then. It must take
+/// over from its earlier incarnation at once, with a higher token.
 #[test]
-fn a_restarted_holder_does_not_wait_for_its_earlier_life() {
-    let mut keeper = reader(keeper(20), record("front-0", 10));
+fn a_restarted_holder_does_not_wait_for_its_earlier_incarnation() {
+    let mut manager = reader(manager(20), record("front-0", 10));
 
-    let action = keeper.tick(START + TimeSpan(1));
+    let action = manager.tick(START + TimeSpan(1));
 
     let taken = written(action).expect("the lease is taken");
     assert_eq!((taken.incarnation, taken.fence), (20, 4));
 }
 
 #[test]
-fn an_earlier_life_never_takes_the_lease_of_a_later_one() {
-    let mut keeper = reader(keeper(20), record("front-0", 30));
+fn an_earlier_incarnation_never_takes_the_lease_of_a_later_one() {
+    let mut manager = reader(manager(20), record("front-0", 30));
 
-    let action = keeper.tick(START + TimeSpan(1));
+    let action = manager.tick(START + TimeSpan(1));
 
     assert_eq!(action, LeaseAction::Read);
-    assert_eq!(keeper.fence(START, TimeSpan(0)), None);
+    assert_eq!(manager.fence(START, TimeSpan(0)), None);
 }
 
 #[test]
-fn the_lease_of_another_process_is_waited_for_with_the_clocks_margin() {
-    let mut keeper = reader(keeper(20), record("front-1", 10));
+fn the_lease_of_another_process_is_taken_after_its_duration_and_the_clock_margin() {
+    let mut manager = reader(manager(20), record("front-1", 10));
 
-    let early = keeper.tick(START + LASTS);
-    keeper.said(LeaseSaid::Read(Some((5, record("front-1", 10)))), START + LASTS);
-    let late = keeper.tick(START + TimeSpan(LASTS.0 * 11 / 10 + 1000));
+    let early = manager.tick(START + DURATION);
+    manager.said(LeaseReply::Read(Some((5, record("front-1", 10)))), START + DURATION);
+    let late = manager.tick(START + TimeSpan(DURATION.0 * 11 / 10 + 1000));
 
     assert_eq!(early, LeaseAction::Read);
     assert_eq!(written(late).map(|taken| taken.fence), Some(4));
 }
 
-/// Orders that carry no token may still arrive after their sender was killed. A keeper of such work
-/// waits for the end of the lease even if it was its own.
+/// Unfenced orders may still arrive after their sender was killed. A manager of such work waits for
+/// the end of the lease even if its own earlier incarnation held it.
 #[test]
-fn a_keeper_of_unfenced_work_waits_for_its_earlier_life() {
-    let unfenced = LeaseKeeper::new("front-0".into(), 20, LASTS);
-    let mut keeper = reader(unfenced, record("front-0", 10));
+fn a_manager_of_unfenced_work_waits_for_its_earlier_incarnation() {
+    let unfenced = LeaseManager::new("front-0".into(), 20, DURATION);
+    let mut manager = reader(unfenced, record("front-0", 10));
 
-    let action = keeper.tick(START + TimeSpan(1));
+    let action = manager.tick(START + TimeSpan(1));
 
     assert_eq!(action, LeaseAction::Read);
 }
 
 #[test]
-fn what_the_holder_tells_saves_reading_and_older_news_changes_nothing() {
-    let mut keeper = keeper(20);
-    keeper.hear(9, record("front-1", 10), START);
+fn a_notice_of_the_holder_saves_a_read_and_older_notices_are_ignored() {
+    let mut manager = manager(20);
+    manager.note_change(9, record("front-1", 10), START);
 
-    keeper.hear(8, record("front-2", 10), START + TimeSpan(1));
+    manager.note_change(8, record("front-2", 10), START + TimeSpan(1));
 
-    assert_eq!(keeper.seen().map(|seen| seen.holder.as_str()), Some("front-1"));
-    assert!(!matches!(keeper.tick(START + TimeSpan(2)), LeaseAction::Write { .. }));
+    assert_eq!(manager.seen().map(|seen| seen.holder.as_str()), Some("front-1"));
+    assert!(!matches!(manager.tick(START + TimeSpan(2)), LeaseAction::Write { .. }));
 }
 
 #[test]
-fn an_overdue_token_stands_for_its_grace_only() {
-    let mut keeper = reader(keeper(20), LeaseRecord::default());
-    let taken = written(keeper.tick(START)).expect("a free lease is taken");
-    keeper.said(LeaseSaid::Written(6), START);
-    let end = START + LASTS;
+fn an_overdue_token_is_valid_for_its_grace_only() {
+    let mut manager = reader(manager(20), LeaseRecord::default());
+    let taken = written(manager.tick(START)).expect("a free lease is taken");
+    manager.said(LeaseReply::Written(6), START);
+    let end = START + DURATION;
 
-    let in_grace = keeper.overdue_fence(end + TimeSpan(99), TimeSpan(100));
-    let after = keeper.overdue_fence(end + TimeSpan(100), TimeSpan(100));
+    let in_grace = manager.overdue_fence(end + TimeSpan(99), TimeSpan(100));
+    let after = manager.overdue_fence(end + TimeSpan(100), TimeSpan(100));
 
     assert_eq!((in_grace, after), (Some(taken.fence), None));
-    assert_eq!(keeper.fence(end, TimeSpan(0)), None);
+    assert_eq!(manager.fence(end, TimeSpan(0)), None);
 }
 
-/// The collecting process goes by what another told of the lease, and that is old: the lease has
-/// changed hands since. Its write is refused. If it then goes by the same old news again, it writes
-/// and is refused for as long as it lives: no usage is reported and nobody orders endpoints, and
-/// callers are refused once reclaims have used up what there is. Only reading settles it.
+/// Guards against repeating a refused write forever: the collector uses a notice of the lease that
+/// is older than a change of holder, and its write is refused. If it used the same notice again, no
+/// usage would be reported and no endpoints ordered, and callers would be refused once reclaims
+/// have used up the capacity. Only a read resolves this.
 #[test]
-fn a_refused_write_is_settled_by_reading_and_not_by_old_news() {
-    let mut keeper = keeper(20);
-    keeper.hear(9, LeaseRecord::default(), START);
-    assert!(written(keeper.tick(START)).is_some());
-    keeper.said(LeaseSaid::Changed, START);
+fn a_refused_write_is_resolved_by_a_read_and_not_by_an_old_notice() {
+    let mut manager = manager(20);
+    manager.note_change(9, LeaseRecord::default(), START);
+    assert!(written(manager.tick(START)).is_some());
+    manager.said(LeaseReply::Changed, START);
 
-    keeper.hear(9, LeaseRecord::default(), START);
-    let action = keeper.tick(START);
+    manager.note_change(9, LeaseRecord::default(), START);
+    let action = manager.tick(START);
 
     assert_eq!(action, LeaseAction::Read);
 }
 
 #[test]
-fn news_later_than_a_refused_write_saves_the_reading() {
-    let mut keeper = keeper(20);
-    keeper.hear(9, LeaseRecord::default(), START);
-    assert!(written(keeper.tick(START)).is_some());
-    keeper.said(LeaseSaid::Unknown, START);
+fn a_notice_newer_than_a_refused_write_saves_the_read() {
+    let mut manager = manager(20);
+    manager.note_change(9, LeaseRecord::default(), START);
+    assert!(written(manager.tick(START)).is_some());
+    manager.said(LeaseReply::Unknown, START);
 
-    keeper.hear(10, LeaseRecord::default(), START);
+    manager.note_change(10, LeaseRecord::default(), START);
 
-    assert!(written(keeper.tick(START)).is_some());
+    assert!(written(manager.tick(START)).is_some());
 }
 
-/// The holder of the lease as it takes it at `now`, with the version that its write makes.
-fn taken(keeper: &mut LeaseKeeper, version: u64, now: ClockTime) -> u64 {
-    let record = written(keeper.tick(now)).expect("the lease is taken");
-    keeper.said(LeaseSaid::Written(version), now);
+/// Takes the lease at `now` with a write that makes `version`; returns the fencing token.
+fn taken(manager: &mut LeaseManager, version: u64, now: ClockTime) -> u64 {
+    let record = written(manager.tick(now)).expect("the lease is taken");
+    manager.said(LeaseReply::Written(version), now);
     record.fence
 }
 
-/// Two processes act on one matter within a second, and the platform takes them for two holders at
-/// once. The first gives the lease back, as another collects now; the second acts and leaves; the first
-/// takes it again under a higher token and acts. It must wait until its own last act is a lease ago.
+/// Guards against two processes making calls on the same matter within a second, which the platform
+/// takes for two simultaneous holders. The first releases the lease because another process
+/// collects, the second makes a call and leaves, and the first takes the lease again with a higher
+/// token. It must make no call until its own last one is a lease duration ago.
 #[test]
-fn a_holder_that_got_the_lease_back_does_not_act_right_after_another() {
-    let mut keeper = reader(keeper(20), LeaseRecord::default());
-    taken(&mut keeper, 6, START);
-    assert!(keeper.act(START, TimeSpan(0)).is_some());
-    let released = written(keeper.release(START)).expect("it is given back");
-    keeper.said(LeaseSaid::Written(7), START);
+fn a_holder_that_got_the_lease_back_makes_no_call_right_after_another() {
+    let mut manager = reader(manager(20), LeaseRecord::default());
+    taken(&mut manager, 6, START);
+    assert!(manager.fence_for_call(START, TimeSpan(0)).is_some());
+    let released = written(manager.release(START)).expect("it is given back");
+    manager.said(LeaseReply::Written(7), START);
     let second = LeaseRecord { fence: released.fence + 1, ..released };
-    keeper.hear(8, second, START + TimeSpan(100));
+    manager.note_change(8, second, START + TimeSpan(100));
     let back = START + TimeSpan(1400);
-    let fence = taken(&mut keeper, 9, back);
+    let fence = taken(&mut manager, 9, back);
 
-    let early = keeper.act(START + LASTS - TimeSpan(1), TimeSpan(0));
-    let late = keeper.act(START + LASTS, TimeSpan(0));
+    let early = manager.fence_for_call(START + DURATION - TimeSpan(1), TimeSpan(0));
+    let late = manager.fence_for_call(START + DURATION, TimeSpan(0));
 
     assert_eq!((early, late), (None, Some(fence)));
 }
 
-/// The same over a restart: the earlier life acted, another process took the lease and gave it back
-/// while this one started.
+/// The same across a restart: the earlier incarnation made calls, and another process took the
+/// lease and released it while this one started.
 #[test]
-fn a_restarted_process_does_not_act_right_after_another() {
+fn a_restarted_process_makes_no_call_right_after_another() {
     let given_back = LeaseRecord { holder: "".into(), ..record("front-1", 10) };
-    let mut keeper = reader(keeper(20).begun(START), given_back);
-    let fence = taken(&mut keeper, 6, START);
+    let mut manager = reader(manager(20).with_start(START), given_back);
+    let fence = taken(&mut manager, 6, START);
 
-    let early = keeper.act(START + TimeSpan(100), TimeSpan(0));
-    keeper.tick(START + TimeSpan(3000));
-    keeper.said(LeaseSaid::Written(7), START + TimeSpan(3000));
-    let late = keeper.act(START + LASTS, TimeSpan(0));
+    let early = manager.fence_for_call(START + TimeSpan(100), TimeSpan(0));
+    manager.tick(START + TimeSpan(3000));
+    manager.said(LeaseReply::Written(7), START + TimeSpan(3000));
+    let late = manager.fence_for_call(START + DURATION, TimeSpan(0));
 
     assert_eq!((early, late), (None, Some(fence)));
 }
 
-/// Usage of a window is not told, and no endpoint is ordered for 3 s: a process that began long ago takes
-/// the lease for the first time, and waits as if its life had begun then.
+/// Guards against unreported usage and 3 s without orders of endpoints: a process that started long
+/// ago takes the lease for the first time, and waits as if it had just started.
 #[test]
-fn a_process_that_began_long_ago_acts_at_once() {
+fn a_process_that_started_long_ago_makes_calls_at_once() {
     let given_back = LeaseRecord { holder: "".into(), ..record("front-1", 10) };
-    let begun = ClockTime(START.0 - LASTS.0);
-    let mut keeper = reader(keeper(20).begun(begun), given_back);
-    let fence = taken(&mut keeper, 6, START);
+    let with_start = ClockTime(START.0 - DURATION.0);
+    let mut manager = reader(manager(20).with_start(with_start), given_back);
+    let fence = taken(&mut manager, 6, START);
 
-    assert_eq!(keeper.act(START, TimeSpan(0)), Some(fence));
+    assert_eq!(manager.fence_for_call(START, TimeSpan(0)), Some(fence));
 }
 
-/// A process that goes on under the token it has, or that takes the lease of its own earlier life, acts
-/// at once: nobody acted in between.
+/// A process that keeps its token, or that takes over the lease of its own earlier incarnation,
+/// makes calls at once: no other process made any in between.
 #[test]
-fn a_holder_that_was_not_followed_by_another_acts_at_once() {
-    let mut first = reader(keeper(20), LeaseRecord::default());
-    let mut restarted = reader(keeper(20), record("front-0", 10));
+fn a_holder_not_succeeded_by_another_makes_calls_at_once() {
+    let mut first = reader(manager(20), LeaseRecord::default());
+    let mut restarted = reader(manager(20), record("front-0", 10));
     let at = START + TimeSpan(10);
     let fences = [taken(&mut first, 6, START), taken(&mut restarted, 6, START)];
 
-    let acts = [&mut first, &mut restarted].map(|keeper| keeper.act(at, TimeSpan(0)));
+    let acts = [&mut first, &mut restarted].map(|manager| manager.fence_for_call(at, TimeSpan(0)));
 
     assert_eq!(acts, fences.map(Some));
 }
