--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -39,7 +39,7 @@
         PeerBody::Probe { from, list, message } => {
             let now = node.clock.now();
             let generation = node.generation();
-            let reply = node.members.borrow_mut().probed(&from, &message, generation, now);
+            let reply = node.members.borrow_mut().handle_probe(&from, &message, generation, now);
             spread::compare(&node, message.generation, &from.address);
             lists::compare(&node, list, &from.address);
             let from = node.members.borrow().me().clone();
@@ -122,7 +122,7 @@
 
 /// The statuses of all members that answer, and the names of those that do not.
 pub async fn cluster_status(node: &Rc<EntryNode>) -> (Vec<NodeStatus>, Vec<InstanceId>) {
-    let members: Vec<_> = node.members.borrow().takers().cloned().collect();
+    let members: Vec<_> = node.members.borrow().serving_members().cloned().collect();
     let mut asked = Vec::new();
     for member in members.into_iter().filter(|member| member.id != *node.me()) {
         let node = node.clone();
@@ -177,7 +177,7 @@
 }
 
 fn taker_ids(node: &EntryNode) -> BTreeSet<InstanceId> {
-    node.members.borrow().takers().map(|member| member.id.clone()).collect()
+    node.members.borrow().serving_members().map(|member| member.id.clone()).collect()
 }
 
 async fn carry_out(node: Rc<EntryNode>, action: MemberAction) {
@@ -192,12 +192,12 @@
             let reply = node.call_peer(&address, probe, PROBE_LIMIT).await;
             if let Ok(PeerBody::ProbeAnswer { from, list, message }) = reply {
                 let now = node.clock.now();
-                node.members.borrow_mut().answered(&from, &message, now);
+                node.members.borrow_mut().handle_answer(&from, &message, now);
                 spread::compare(&node, message.generation, &from.address);
                 lists::compare(&node, list, &from.address);
             }
         }
-        MemberAction::AskHelper { helper, target, number } => {
+        MemberAction::ProbeVia { helper, target, number } => {
             let addresses = node.peer_address(&helper).zip(node.peer_address(&target));
             let Some((helper, target)) = addresses else {
                 return;
@@ -205,7 +205,7 @@
             let ask = PeerBody::HelpProbe { address: target };
             let reply = node.call_peer(&helper, ask, PROBE_LIMIT).await;
             if let Ok(PeerBody::Helped { reached: true }) = reply {
-                node.members.borrow_mut().helped(number);
+                node.members.borrow_mut().handle_helper_answer(number);
             }
         }
     }
@@ -215,7 +215,7 @@
 pub async fn tell_own_leaving(node: &Rc<EntryNode>) {
     node.members.borrow_mut().leave();
     let generation = node.generation();
-    let peers: Vec<_> = node.members.borrow().takers().cloned().collect();
+    let peers: Vec<_> = node.members.borrow().serving_members().cloned().collect();
     let message = {
         let news = vec![node.members.borrow().me().clone()];
         oleander_member::ProbeMessage { number: u64::MAX, generation, news }
@@ -260,7 +260,7 @@
 pub fn news_targets(node: &EntryNode, news: u64) -> Vec<CompactString> {
     let members = node.members.borrow();
     let key = mix_bits(news ^ node.me().stable_hash());
-    let others = || members.takers().filter(|member| member.id != *node.me());
+    let others = || members.serving_members().filter(|member| member.id != *node.me());
     let after = others().filter(|member| member.id > *node.me()).min_by_key(|member| &member.id);
     let next = after.or_else(|| others().min_by_key(|member| &member.id));
     let mut ranked: Vec<_> = others()
@@ -280,7 +280,7 @@
     entry: &InstanceId,
     reports: Vec<(AccountName, DemandReport)>,
 ) -> PeerBody {
-    let entries = u32::try_from(node.members.borrow().taker_count()).unwrap_or(u32::MAX);
+    let entries = u32::try_from(node.members.borrow().serving_count()).unwrap_or(u32::MAX);
     let now = node.clock.now();
     let mut owner = node.limit_owner.borrow_mut();
     let grants = reports
@@ -356,7 +356,7 @@
     let domain = &node.settings.domain;
     let key = mix_bits(domain.stable_hash());
     let mut ranked: Vec<_> = members
-        .takers()
+        .serving_members()
         .filter(|member| member.domain == *domain && member.stage != MemberStage::Suspect)
         .map(|member| (rendezvous_weight(key, member.id.stable_hash()), &member.id))
         .collect();
--- a/crates/edge/src/shadow.rs
+++ b/crates/edge/src/shadow.rs
@@ -143,7 +143,7 @@
     for (key, record) in held {
         let owner_lives = {
             let members = node.members.borrow();
-            members.takers().any(|member| member.id == record.owner)
+            members.serving_members().any(|member| member.id == record.owner)
         };
         if owner_lives {
             continue;
--- a/crates/gauge/src/decide.rs
+++ b/crates/gauge/src/decide.rs
@@ -93,7 +93,7 @@
     (1..NODES).for_each(|at| table.join(member(at), NOW));
     // The joins are news; they are told until they are old.
     for _ in 0..1600 {
-        table.probed(&member(1), &quiet_probe(), 1, NOW);
+        table.handle_probe(&member(1), &quiet_probe(), 1, NOW);
     }
     table
 }
@@ -103,7 +103,7 @@
 }
 
 fn probe_bytes(table: &mut MemberTable) -> f64 {
-    let message = table.probed(&member(1), &quiet_probe(), 1, NOW);
+    let message = table.handle_probe(&member(1), &quiet_probe(), 1, NOW);
     let from = member(0);
     encode_frame(1, PeerBody::Probe { from, list: Default::default(), message }).len() as f64
 }
@@ -117,7 +117,7 @@
                 for action in table.tick(1, now, mix_bits(at)) {
                     if let oleander_member::MemberAction::Probe { to, message } = action {
                         let from = table.get(&to).cloned().unwrap_or_else(|| member(1));
-                        table.answered(&from, &message, now);
+                        table.handle_answer(&from, &message, now);
                     }
                 }
             }) / 1000.0
@@ -128,7 +128,7 @@
             let leaving: Vec<MemberRecord> = (1..NODES * 47 / 100)
                 .map(|at| MemberRecord { stage: MemberStage::Leaving, ..member(at) })
                 .collect();
-            table.take_news(&leaving, NOW);
+            table.apply_gossip(&leaving, NOW);
             probe_bytes(&mut table)
         }),
         cost("membership: owner of a key", "µs", || {
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,12 +1,12 @@
-//! Membership between our own instances: who is there, who is leaving, who may be dead.
+//! Membership of the entry processes: which are alive, leaving, or suspected to have failed.
 //!
-//! Each process probes one peer a period and passes on a bounded number of news with each message.
-//! The cost of a process therefore does not depend on how many there are.
+//! Each process probes one peer per period and includes a bounded amount of gossip in each message.
+//! The cost per process therefore does not depend on the number of members.
 
 pub mod rank;
 pub mod table;
 
 pub use rank::{owner_of, ranked};
 pub use table::{
-    MemberAction, MemberRecord, MemberSettings, MemberStage, MemberTable, NewsItem, ProbeMessage,
+    GossipItem, MemberAction, MemberRecord, MemberSettings, MemberStage, MemberTable, ProbeMessage,
 };
--- a/crates/member/src/table.rs
+++ b/crates/member/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of members and the probes that keep it, as a pure state machine.
+//! The member table and the probes that maintain it, as a pure state machine.
 
 use compact_str::CompactString;
 use oleander_kind::hash::mix_bits;
@@ -6,20 +6,20 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a member stands. Of two news with one incarnation the later stage wins.
+/// The state of a member. For equal incarnations the later stage wins.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum MemberStage {
-    /// It answers.
+    /// The member answers.
     #[default]
     Alive,
-    /// It did not answer; it may be slow, paused, cut off or dead.
+    /// The member did not answer; it may be slow, paused, isolated or dead.
     Suspect,
-    /// It said that it is leaving: it finishes what it has and gets nothing new.
+    /// The member announced that it is leaving: it finishes its requests and gets no new ones.
     Leaving,
-    /// It is gone.
+    /// The member is considered failed.
     Dead,
 }
 
@@ -30,50 +30,51 @@
     pub id: InstanceId,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Where its peers connect.
+    /// The address for peers.
     pub address: CompactString,
-    /// Raised by the member itself, to outdo older news of it. A new life starts higher.
+    /// Incremented by the member itself to override older records of it. A restarted process starts
+    /// with a higher value.
     pub incarnation: u64,
     /// Its stage.
     pub stage: MemberStage,
 }
 
-/// A piece of news that is passed on.
-pub type NewsItem = MemberRecord;
+/// A member record that is spread by gossip.
+pub type GossipItem = MemberRecord;
 
-/// A probe or its answer, with news.
+/// A probe or its answer, with gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeMessage {
     /// Matches an answer to its probe.
     pub number: u64,
     /// The bundle generation in force at the sender.
     pub generation: u64,
-    /// News, at most [`MemberSettings::most_news`].
-    pub news: Vec<NewsItem>,
+    /// Gossip, at most [`MemberSettings::max_gossip`] items.
+    pub news: Vec<GossipItem>,
 }
 
-/// Periods and bounds.
+/// Periods and limits.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberSettings {
-    /// A probe not answered within this time is tried through others.
+    /// A probe that is not answered within this time is repeated through other members.
     pub direct_limit: TimeSpan,
-    /// A member not reached within this time, directly or through others, is suspected.
+    /// A member that is not reached within this time, directly or indirectly, is suspected.
     pub indirect_limit: TimeSpan,
-    /// A suspect that nobody heard of for this long is dead, if the list does not show it.
+    /// A suspect that is not heard of for this long is declared dead if the list does not show it.
     pub suspect_limit: TimeSpan,
-    /// The same, if the list still shows it or nobody could read the list.
+    /// The same if the list still shows it, or if the list could not be read.
     pub listed_limit: TimeSpan,
-    /// A leaving member is forgotten after this time.
+    /// A leaving member is removed after this time.
     pub forget_limit: TimeSpan,
-    /// A dead member is forgotten after this time. Until then it is probed like the others, so that
-    /// regions that lost each other for minutes find each other again.
+    /// A dead member is removed after this time. Until then it is probed like the others, so that
+    /// regions that were isolated from each other for minutes find each other again.
     pub bury_limit: TimeSpan,
-    /// Others asked to probe in our place.
+    /// The number of members asked for an indirect probe.
     pub helpers: usize,
-    /// The most news in one message.
-    pub most_news: usize,
-    /// How often a piece of news is passed on, times the base-2 logarithm of the members. Who
-    /// misses it learns it when it probes, or is probed by, the member itself.
+    /// The most gossip items per message.
+    pub max_gossip: usize,
+    /// How often an item is sent, as a multiple of the base-2 logarithm of the number of members. A
+    /// member that misses the item learns of it from a probe to or from the affected member itself.
     pub repeats: u32,
 }
 
@@ -87,13 +88,13 @@
             forget_limit: TimeSpan(120_000),
             bury_limit: TimeSpan::secs(3600),
             helpers: 2,
-            most_news: 8,
+            max_gossip: 8,
             repeats: 1,
         }
     }
 }
 
-/// What the table wants done.
+/// An action requested by the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberAction {
     /// Send a probe to `to`.
@@ -104,12 +105,12 @@
         message: ProbeMessage,
     },
     /// Ask `helper` to probe `target`.
-    AskHelper {
-        /// Who is asked.
+    ProbeVia {
+        /// The member that is asked.
         helper: InstanceId,
-        /// Who is to be probed.
+        /// The member to be probed.
         target: InstanceId,
-        /// The number to answer with.
+        /// The number of the probe, for the answer.
         number: u64,
     },
 }
@@ -118,17 +119,17 @@
 struct MemberEntry {
     record: MemberRecord,
     changed_at: ClockTime,
-    sent: u32,
+    times_sent: u32,
 }
 
 #[derive(Clone, Debug)]
 struct OpenProbe {
     target: InstanceId,
     sent_at: ClockTime,
-    helped: bool,
+    is_indirect: bool,
 }
 
-/// The table of one process.
+/// The member table of one process.
 #[derive(Debug)]
 pub struct MemberTable {
     settings: MemberSettings,
@@ -137,14 +138,14 @@
     order: Vec<InstanceId>,
     next_number: u64,
     open: BTreeMap<u64, OpenProbe>,
-    fresh: BTreeSet<InstanceId>,
+    pending_gossip: BTreeSet<InstanceId>,
     listed: Option<BTreeSet<InstanceId>>,
 }
 
 impl MemberTable {
-    /// A table that knows only `me`.
+    /// A table that contains only `me`.
     pub fn new(me: MemberRecord, settings: MemberSettings) -> Self {
-        let fresh = BTreeSet::from([me.id.clone()]);
+        let pending_gossip = BTreeSet::from([me.id.clone()]);
         MemberTable {
             settings,
             me,
@@ -152,7 +153,7 @@
             order: Vec::new(),
             next_number: 0,
             open: BTreeMap::new(),
-            fresh,
+            pending_gossip,
             listed: None,
         }
     }
@@ -162,7 +163,7 @@
         &self.me
     }
 
-    /// A member by its instance.
+    /// The member with this instance.
     pub fn get(&self, id: &InstanceId) -> Option<&MemberRecord> {
         if *id == self.me.id {
             return Some(&self.me);
@@ -170,137 +171,137 @@
         self.members.get(id).map(|entry| &entry.record)
     }
 
-    /// Everybody known, this process included.
+    /// All known members, including this process.
     pub fn all(&self) -> impl Iterator<Item = &MemberRecord> {
         std::iter::once(&self.me).chain(self.members.values().map(|entry| &entry.record))
     }
 
-    /// Those that take work: alive or suspected, not leaving. A suspect stays responsible until
-    /// it is dead: taking its keys away at the first lost packet would move them to and fro.
-    pub fn takers(&self) -> impl Iterator<Item = &MemberRecord> {
+    /// Members that accept work: alive or suspected, not leaving. A suspect owns its keys until it
+    /// is dead; otherwise a single lost packet would move its keys back and forth.
+    pub fn serving_members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.all()
             .filter(|member| matches!(member.stage, MemberStage::Alive | MemberStage::Suspect))
     }
 
-    /// Those believed to answer.
+    /// Members believed to answer.
     pub fn alive(&self) -> impl Iterator<Item = &MemberRecord> {
         self.all().filter(|member| member.stage == MemberStage::Alive)
     }
 
-    /// How many take work.
-    pub fn taker_count(&self) -> usize {
-        self.takers().count()
+    /// The number of members that accept work.
+    pub fn serving_count(&self) -> usize {
+        self.serving_members().count()
     }
 
-    /// Adds a member known from settings.
+    /// Adds a member known from the settings.
     pub fn join(&mut self, record: MemberRecord, now: ClockTime) {
         if record.id != self.me.id && !self.members.contains_key(&record.id) {
-            self.put(record, now);
+            self.insert(record, now);
         }
     }
 
-    /// Notes which of our instances the platform's list shows.
-    pub fn take_list(&mut self, shown: Option<BTreeSet<InstanceId>>) {
+    /// Sets which of our instances the platform's list shows; `None` if it could not be read.
+    pub fn set_listed(&mut self, shown: Option<BTreeSet<InstanceId>>) {
         self.listed = shown;
     }
 
-    /// This process is leaving; peers learn it with the next messages.
+    /// Marks this process as leaving; peers learn of it with the next messages.
     pub fn leave(&mut self) {
         self.me.stage = MemberStage::Leaving;
         self.me.incarnation += 1;
-        self.fresh.insert(self.me.id.clone());
+        self.pending_gossip.insert(self.me.id.clone());
     }
 
-    /// One period: a probe of the next member, and the ageing of suspects.
+    /// Runs one period: ages open probes and suspects, and probes the next member.
     pub fn tick(&mut self, generation: u64, now: ClockTime, random: u64) -> Vec<MemberAction> {
         let mut actions = self.age_probes(now, random);
         self.age_suspects(now);
         if let Some(target) = self.next_target(random) {
             let number = self.next_number;
             self.next_number += 1;
-            let probe = OpenProbe { target: target.clone(), sent_at: now, helped: false };
+            let probe = OpenProbe { target: target.clone(), sent_at: now, is_indirect: false };
             self.open.insert(number, probe);
-            self.accuse(&target);
-            let message = self.message(number, generation);
+            self.queue_suspicion(&target);
+            let message = self.build_message(number, generation);
             actions.push(MemberAction::Probe { to: target, message });
         }
         actions
     }
 
-    /// Takes a probe from `from` and returns the answer.
-    pub fn probed(
+    /// Handles a probe from `from` and returns the answer.
+    pub fn handle_probe(
         &mut self,
         from: &MemberRecord,
         probe: &ProbeMessage,
         generation: u64,
         now: ClockTime,
     ) -> ProbeMessage {
-        self.take_news(std::slice::from_ref(from), now);
-        self.take_news(&probe.news, now);
-        self.accuse(&from.id);
-        self.message(probe.number, generation)
+        self.apply_gossip(std::slice::from_ref(from), now);
+        self.apply_gossip(&probe.news, now);
+        self.queue_suspicion(&from.id);
+        self.build_message(probe.number, generation)
     }
 
-    /// Takes the answer to a probe.
-    pub fn answered(&mut self, from: &MemberRecord, answer: &ProbeMessage, now: ClockTime) {
+    /// Handles the answer to a probe.
+    pub fn handle_answer(&mut self, from: &MemberRecord, answer: &ProbeMessage, now: ClockTime) {
         self.open.remove(&answer.number);
-        // It answered, so it is not merely said to be alive: it is.
-        self.revive(from, now);
-        self.take_news(&answer.news, now);
+        // The answer itself shows that the member is alive, unlike gossip that says so.
+        self.confirm_alive(from, now);
+        self.apply_gossip(&answer.news, now);
     }
 
-    /// A helper reached the target of probe `number`.
-    pub fn helped(&mut self, number: u64) {
+    /// Handles the report of a helper that it reached the target of probe `number`.
+    pub fn handle_helper_answer(&mut self, number: u64) {
         self.open.remove(&number);
     }
 
-    /// Takes news from a peer.
-    pub fn take_news(&mut self, news: &[NewsItem], now: ClockTime) {
+    /// Applies gossip from a peer.
+    pub fn apply_gossip(&mut self, news: &[GossipItem], now: ClockTime) {
         for item in news {
             if item.id == self.me.id {
                 self.refute(item);
             } else {
-                self.take_item(item, now);
+                self.apply_item(item, now);
             }
         }
     }
 
-    /// Makes sure that the next message tells `id` that it is held for suspect or dead here. Only it
-    /// can outdo that, with a higher incarnation: without being told, both halves of a healed cut
-    /// would hold each other for dead for ever, although they talk.
-    fn accuse(&mut self, id: &InstanceId) {
+    /// Ensures that the next message tells `id` if it is suspected or considered dead here. Only
+    /// that member can refute it, with a higher incarnation. Without this, both halves of a healed
+    /// partition would consider each other dead forever although they exchange messages.
+    fn queue_suspicion(&mut self, id: &InstanceId) {
         let Some(entry) = self.members.get_mut(id) else { return };
         if matches!(entry.record.stage, MemberStage::Suspect | MemberStage::Dead) {
-            entry.sent = 0;
-            self.fresh.insert(id.clone());
+            entry.times_sent = 0;
+            self.pending_gossip.insert(id.clone());
         }
     }
 
-    /// Somebody believes this process suspect or dead. It outdoes them with a higher incarnation;
-    /// otherwise a process that was paused for a moment would be dropped by everybody.
-    fn refute(&mut self, item: &NewsItem) {
+    /// Refutes a record that claims this process is suspect or dead, with a higher incarnation.
+    /// Otherwise a process that was paused briefly would be removed by all others.
+    fn refute(&mut self, item: &GossipItem) {
         if item.incarnation < self.me.incarnation || item.stage == self.me.stage {
             return;
         }
         self.me.incarnation = item.incarnation + 1;
-        self.fresh.insert(self.me.id.clone());
+        self.pending_gossip.insert(self.me.id.clone());
     }
 
-    fn take_item(&mut self, item: &NewsItem, now: ClockTime) {
+    fn apply_item(&mut self, item: &GossipItem, now: ClockTime) {
         let Some(entry) = self.members.get(&item.id) else {
             if item.stage != MemberStage::Dead {
-                self.put(item.clone(), now);
+                self.insert(item.clone(), now);
             }
             return;
         };
         let known = (entry.record.incarnation, entry.record.stage);
         if (item.incarnation, item.stage) > known {
-            self.put(item.clone(), now);
+            self.insert(item.clone(), now);
         }
     }
 
-    fn revive(&mut self, from: &MemberRecord, now: ClockTime) {
-        self.take_news(std::slice::from_ref(from), now);
+    fn confirm_alive(&mut self, from: &MemberRecord, now: ClockTime) {
+        self.apply_gossip(std::slice::from_ref(from), now);
         let Some(entry) = self.members.get_mut(&from.id) else {
             return;
         };
@@ -311,13 +312,13 @@
         }
     }
 
-    fn put(&mut self, record: MemberRecord, now: ClockTime) {
+    fn insert(&mut self, record: MemberRecord, now: ClockTime) {
         let id = record.id.clone();
         if !self.members.contains_key(&id) {
             self.order.push(id.clone());
         }
-        self.members.insert(id.clone(), MemberEntry { record, changed_at: now, sent: 0 });
-        self.fresh.insert(id);
+        self.members.insert(id.clone(), MemberEntry { record, changed_at: now, times_sent: 0 });
+        self.pending_gossip.insert(id);
     }
 
     fn age_probes(&mut self, now: ClockTime, random: u64) -> Vec<MemberAction> {
@@ -331,12 +332,12 @@
             if age >= self.settings.indirect_limit {
                 self.open.remove(&number);
                 self.suspect(&probe.target, now);
-            } else if age >= self.settings.direct_limit && !probe.helped {
+            } else if age >= self.settings.direct_limit && !probe.is_indirect {
                 if let Some(open) = self.open.get_mut(&number) {
-                    open.helped = true;
+                    open.is_indirect = true;
                 }
                 let helpers = self.helpers(&probe.target, random);
-                actions.extend(helpers.into_iter().map(|helper| MemberAction::AskHelper {
+                actions.extend(helpers.into_iter().map(|helper| MemberAction::ProbeVia {
                     helper,
                     target: probe.target.clone(),
                     number,
@@ -366,17 +367,17 @@
         if entry.record.stage == MemberStage::Alive {
             entry.record.stage = MemberStage::Suspect;
             entry.changed_at = now;
-            entry.sent = 0;
-            self.fresh.insert(id.clone());
+            entry.times_sent = 0;
+            self.pending_gossip.insert(id.clone());
         }
     }
 
-    /// Suspects die, the dead and the left are forgotten.
+    /// Declares suspects dead, and removes dead members and those that left.
     ///
-    /// Neither the probes nor the list remove anybody alone. Probes fail for everybody when this
-    /// process itself is cut off; the list lags and misses the new. A suspect that the list still
-    /// shows gets much longer, and a process that suspects most of the others suspects itself
-    /// instead: it keeps them all until it reaches somebody again.
+    /// Neither probes nor the list remove a member alone. Probes fail for all members when this
+    /// process itself is isolated, and the list lags and lacks new members. A suspect that the list
+    /// still shows gets a much longer timeout, and a process with suspects but no member alive
+    /// treats itself as isolated: it keeps all members until it reaches one of them again.
     fn age_suspects(&mut self, now: ClockTime) {
         let suspects =
             self.members.values().filter(|e| e.record.stage == MemberStage::Suspect).count();
@@ -394,8 +395,8 @@
                     if age >= limit {
                         entry.record.stage = MemberStage::Dead;
                         entry.changed_at = now;
-                        entry.sent = 0;
-                        self.fresh.insert(id.clone());
+                        entry.times_sent = 0;
+                        self.pending_gossip.insert(id.clone());
                     }
                 }
                 MemberStage::Leaving if age >= settings.forget_limit => gone.push(id.clone()),
@@ -405,13 +406,13 @@
         }
         for id in gone {
             self.members.remove(&id);
-            self.fresh.remove(&id);
+            self.pending_gossip.remove(&id);
             self.order.retain(|other| *other != id);
         }
     }
 
-    /// The next member to probe: each once a round, in an order that changes every round. The dead
-    /// are probed too, rarely, so that two halves of a cut find each other again.
+    /// The next member to probe: each once per round, in a new order each round. Dead members are
+    /// probed too, rarely, so that two halves of a partition find each other again.
     fn next_target(&mut self, random: u64) -> Option<InstanceId> {
         for _ in 0..self.order.len() {
             if (self.next_number as usize).is_multiple_of(self.order.len()) {
@@ -428,13 +429,13 @@
         None
     }
 
-    fn message(&mut self, number: u64, generation: u64) -> ProbeMessage {
-        let most = self.settings.most_news;
+    fn build_message(&mut self, number: u64, generation: u64) -> ProbeMessage {
+        let most = self.settings.max_gossip;
         let limit = self.settings.repeats * (usize::BITS - self.members.len().leading_zeros() + 1);
         let mut items: Vec<(u32, InstanceId)> = self
-            .fresh
+            .pending_gossip
             .iter()
-            .map(|id| (self.members.get(id).map_or(0, |entry| entry.sent), id.clone()))
+            .map(|id| (self.members.get(id).map_or(0, |entry| entry.times_sent), id.clone()))
             .collect();
         items.sort();
         items.truncate(most);
@@ -442,16 +443,16 @@
         for (_, id) in items {
             if id == self.me.id {
                 news.push(self.me.clone());
-                self.fresh.remove(&id);
+                self.pending_gossip.remove(&id);
                 continue;
             }
             let Some(entry) = self.members.get_mut(&id) else {
                 continue;
             };
             news.push(entry.record.clone());
-            entry.sent += 1;
-            if entry.sent >= limit {
-                self.fresh.remove(&id);
+            entry.times_sent += 1;
+            if entry.times_sent >= limit {
+                self.pending_gossip.remove(&id);
             }
         }
         ProbeMessage { number, generation, news }
--- a/tests/all/member.rs
+++ b/tests/all/member.rs
@@ -1,4 +1,4 @@
-//! Membership: who is believed to be there, in a group of tables that probe one another.
+//! Tests of membership in a group of tables that probe one another.
 
 use oleandertack::kind::{ClockTime, DomainName, InstanceId, TimeSpan};
 use oleandertack::member::{
@@ -21,7 +21,7 @@
 struct Group {
     tables: Vec<MemberTable>,
     dead: BTreeSet<usize>,
-    /// Members of which only the same side reaches one another.
+    /// Splits the group: members reach only those on the same side of this index.
     side: Option<usize>,
     now: ClockTime,
 }
@@ -30,7 +30,7 @@
     let tables = (0..size)
         .map(|at| {
             let mut table = MemberTable::new(record(at), MemberSettings::default());
-            // Each knows the first three; the rest it learns.
+            // Each table starts with the first three members and learns the rest.
             (0..3.min(size)).for_each(|peer| table.join(record(peer), START));
             table
         })
@@ -70,14 +70,14 @@
                     return;
                 }
                 let from = self.tables[at].me().clone();
-                let answer = self.tables[to].probed(&from, &message, 1, now);
+                let answer = self.tables[to].handle_probe(&from, &message, 1, now);
                 let me = self.tables[to].me().clone();
-                self.tables[at].answered(&me, &answer, now);
+                self.tables[at].handle_answer(&me, &answer, now);
             }
-            MemberAction::AskHelper { helper, target, number } => {
+            MemberAction::ProbeVia { helper, target, number } => {
                 let (helper, target) = (Self::number(&helper), Self::number(&target));
                 if self.reaches(at, helper) && self.reaches(helper, target) {
-                    self.tables[at].helped(number);
+                    self.tables[at].handle_helper_answer(number);
                 }
             }
         }
@@ -88,17 +88,17 @@
     }
 
     fn seen_by(&self, at: usize) -> usize {
-        self.tables[at].takers().count()
+        self.tables[at].serving_members().count()
     }
 
     fn list(&mut self, shown: &BTreeSet<usize>) {
         let ids: BTreeSet<InstanceId> = shown.iter().map(|at| record(*at).id).collect();
-        self.tables.iter_mut().for_each(|table| table.take_list(Some(ids.clone())));
+        self.tables.iter_mut().for_each(|table| table.set_listed(Some(ids.clone())));
     }
 }
 
 #[test]
-fn everybody_learns_of_everybody_from_three() {
+fn every_member_learns_of_all_from_three() {
     let mut group = group(20);
 
     group.periods(20);
@@ -107,8 +107,9 @@
 }
 
 #[test]
-fn half_of_the_members_gone_at_once_are_removed_and_nobody_else() {
-    // A wave reclaims 47 % without a word. The list stops showing them; the others stay members.
+fn half_of_the_members_lost_at_once_are_removed_and_no_other() {
+    // 47 % of the members are reclaimed without notice. The list stops showing them, and only they
+    // are removed.
     let mut group = group(19);
     group.periods(20);
     group.dead = (0..9).collect();
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn probes_alone_do_not_remove_a_member_that_the_list_shows_before_long() {
+fn probes_alone_remove_a_listed_member_only_after_a_long_time() {
     let mut group = group(6);
     group.periods(12);
     group.dead = BTreeSet::from([5]);
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn the_list_alone_removes_nobody() {
+fn the_list_alone_removes_no_member() {
     let mut group = group(6);
     group.periods(12);
     group.list(&BTreeSet::new());
@@ -145,8 +146,9 @@
 }
 
 #[test]
-fn a_process_that_reaches_nobody_drops_nobody() {
-    // Its own link is cut. If it dropped the others it would believe to own every key.
+fn an_isolated_process_removes_no_member() {
+    // The process itself is isolated. If it removed the others it would consider itself owner of
+    // every key.
     let mut group = group(6);
     group.periods(12);
     group.side = Some(1);
@@ -157,7 +159,7 @@
 }
 
 #[test]
-fn two_halves_of_a_cut_find_each_other_again() {
+fn two_halves_of_a_partition_rejoin() {
     let mut group = group(8);
     group.periods(15);
     group.side = Some(4);
@@ -184,7 +186,7 @@
 }
 
 #[test]
-fn when_a_member_goes_only_its_keys_move() {
+fn when_a_member_leaves_only_its_keys_move() {
     let mut group = group(10);
     group.periods(20);
     let owners = |table: &MemberTable| -> Vec<InstanceId> {
