--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -188,8 +188,8 @@
     }
 
     fn note_call(&mut self, fence: u64, now: ClockTime) -> Option<u64> {
-        let soon = |last: LastCall| last.fence != fence && now - last.at < self.duration;
-        if self.last_call.is_some_and(soon) {
+        let is_too_soon = |last: LastCall| last.fence != fence && now - last.at < self.duration;
+        if self.last_call.is_some_and(is_too_soon) {
             return None;
         }
         self.last_call = Some(LastCall { fence, at: now });
--- a/crates/list/src/freshness.rs
+++ b/crates/list/src/freshness.rs
@@ -60,14 +60,14 @@
     came.min(sent + wait)
 }
 
-/// Replaces `known` by `told` if that has a higher mark, or the same mark at a later time.
-pub fn merge_newer(known: &mut Option<FreshnessStamp>, told: FreshnessStamp) {
+/// Replaces `known` by `candidate` if that has a higher mark, or the same mark at a later time.
+pub fn merge_newer(known: &mut Option<FreshnessStamp>, candidate: FreshnessStamp) {
     match known {
-        Some(known) if told.mark < known.mark => {}
-        Some(known) if told.mark == known.mark && told.at <= known.at => {}
+        Some(known) if candidate.mark < known.mark => {}
+        Some(known) if candidate.mark == known.mark && candidate.at <= known.at => {}
         // The store's mark never falls, so a higher mark was confirmed later.
-        Some(known) => *known = FreshnessStamp { at: told.at.max(known.at), ..told },
-        None => *known = Some(told),
+        Some(known) => *known = FreshnessStamp { at: candidate.at.max(known.at), ..candidate },
+        None => *known = Some(candidate),
     }
 }
 
--- a/crates/list/src/keeper.rs
+++ b/crates/list/src/keeper.rs
@@ -111,17 +111,17 @@
 
     /// Applies a change from a peer; returns the part that was new here and has to be forwarded.
     pub fn apply_change(&mut self, change: &ListChange) -> ListChange {
-        let mut new_parts =
+        let mut new_changes =
             ListChange { stamp: change.stamp, digest: change.digest, ..ListChange::default() };
         for record in &change.records {
             if self.put(record, change.stamp) {
-                new_parts.records.push(record.clone());
+                new_changes.records.push(record.clone());
             }
         }
         for id in &change.gone {
             if self.records.contains_key(id) {
                 self.remove_record(id, change.stamp);
-                new_parts.gone.push(id.clone());
+                new_changes.gone.push(id.clone());
             }
         }
         // Only a list that is complete as of a read is as new as that read. A list that missed an
@@ -130,7 +130,7 @@
         if self.mark.digest == change.digest {
             self.mark.stamp = self.mark.stamp.max(change.stamp);
         }
-        new_parts
+        new_changes
     }
 
     /// Applies a peer's whole list after a gap was detected.
--- a/crates/list/src/parts.rs
+++ b/crates/list/src/parts.rs
@@ -62,9 +62,10 @@
         let from = ask.after.as_ref().map_or(Unbounded, Excluded);
         let later = self.items.range::<CompactString, _>((from, Unbounded));
         let objects = later.map(|(_, item)| &item.object);
-        let mut lacked = objects.filter(|object| since.is_none_or(|mark| object.revision > mark));
-        let objects = lacked.by_ref().take(PART_ENTRIES).cloned().collect();
-        let is_last = lacked.next().is_none();
+        let mut remaining =
+            objects.filter(|object| since.is_none_or(|mark| object.revision > mark));
+        let objects = remaining.by_ref().take(PART_ENTRIES).cloned().collect();
+        let is_last = remaining.next().is_none();
         RosterPart { status: self.status(now), since, gone, objects, is_last }
     }
 }
@@ -93,7 +94,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct AssemblyState {
+struct FirstPart {
     status: RosterStatus,
     since: Option<u64>,
     asked_at: ClockTime,
@@ -102,7 +103,7 @@
 /// Assembles a list from its parts.
 #[derive(Clone, Debug, Default)]
 pub struct PartsAssembler {
-    begun: Option<AssemblyState>,
+    first: Option<FirstPart>,
     gone: Vec<(CompactString, u64)>,
     objects: Vec<FeedObject>,
 }
@@ -116,22 +117,22 @@
         known: u64,
         (asked_at, now): (ClockTime, ClockTime),
     ) -> PartStep {
-        let begun = self.begun.as_ref();
-        let least = begun.map_or(known, |begun| begun.status.mark());
-        let differs = begun.is_some_and(|begun| begun.since != part.since);
+        let first = self.first.as_ref();
+        let least = first.map_or(known, |first| first.status.mark());
+        let differs = first.is_some_and(|first| first.since != part.since);
         if part.status.freshness.is_none() || part.status.mark() < least || differs {
             return PartStep::TooOld;
         }
         let RosterPart { status, since, gone, objects, is_last } = part;
-        let begun = self.begun.get_or_insert(AssemblyState { status, since, asked_at }).clone();
+        let first = self.first.get_or_insert(FirstPart { status, since, asked_at }).clone();
         self.gone.extend(gone);
         self.objects.extend(objects);
         match self.objects.last() {
             Some(last) if !is_last => PartStep::RequestAfter(last.name.clone()),
             _ => {
-                let late = now - begun.asked_at;
-                let update = self.join(begun.since.is_some());
-                PartStep::Joined(JoinedParts { update, status: begun.status, late })
+                let late = now - first.asked_at;
+                let update = self.join(first.since.is_some());
+                PartStep::Joined(JoinedParts { update, status: first.status, late })
             }
         }
     }
--- a/crates/list/src/update.rs
+++ b/crates/list/src/update.rs
@@ -76,11 +76,11 @@
     pub fn apply_update<E>(
         &mut self,
         update: &RosterUpdate,
-        told: (&RosterStatus, TimeSpan),
+        sender: (&RosterStatus, TimeSpan),
         state: Option<RosterVersion>,
         context: &RosterContext<'_, E>,
     ) -> Vec<RosterAction<E>> {
-        self.apply_told(update, told, (state, false), context)
+        self.apply_received(update, sender, (state, false), context)
     }
 
     /// Applies an update assembled from parts. Later parts may be newer than the first one, so the
@@ -91,10 +91,10 @@
         parts: &JoinedParts,
         context: &RosterContext<'_, E>,
     ) -> Vec<RosterAction<E>> {
-        self.apply_told(&parts.update, (&parts.status, parts.late), (None, true), context)
+        self.apply_received(&parts.update, (&parts.status, parts.late), (None, true), context)
     }
 
-    fn apply_told<E>(
+    fn apply_received<E>(
         &mut self,
         update: &RosterUpdate,
         (status, late): (&RosterStatus, TimeSpan),
@@ -110,8 +110,8 @@
             return Vec::new();
         }
         let mut updater = self.updater(context, freshness.mark);
-        let close = updater.is_within_expiry(&freshness);
-        updater.merge_unsettled(status, close, late);
+        let in_contact = updater.is_within_expiry(&freshness);
+        updater.merge_unsettled(status, in_contact, late);
         match update {
             RosterUpdate::Behind | RosterUpdate::InParts => {}
             RosterUpdate::Changes(events) => {
@@ -133,7 +133,7 @@
             // A process that was paused doubts the entries it missed. A process that was in contact
             // with the store meanwhile has better information: if it adopted the doubt, it would go
             // on using an endpoint that has left until the doubt ended.
-            match close {
+            match in_contact {
                 true => updater.note_missing(&doubt.name),
                 false => updater.doubt(&doubt.name, context.now + doubt.left - late),
             }
@@ -145,13 +145,13 @@
         let source = state.map(|state| state.source);
         let follows = updater.replica.followed.is_some_and(|known| Some(known.source) == source);
         let is_whole = matches!(update, RosterUpdate::Whole(_));
-        let is_sure = agrees || follows || is_whole || is_joined;
-        let actions = if is_sure { updater.finish(freshness) } else { updater.actions };
+        let is_complete = agrees || follows || is_whole || is_joined;
+        let actions = if is_complete { updater.finish(freshness) } else { updater.actions };
         if is_whole || state.is_some() {
-            self.needs_whole = !is_sure;
+            self.needs_whole = !is_complete;
         }
         if state.is_some() {
-            self.followed = state.filter(|_| is_sure);
+            self.followed = state.filter(|_| is_complete);
         }
         actions
     }
@@ -204,10 +204,13 @@
 
     /// Decides from a peer's status whether missing entries may have expired. If either process was
     /// in contact with the store all the time, none has.
-    fn merge_unsettled(&mut self, status: &RosterStatus, close: bool, late: TimeSpan) {
-        let told = status.unsettled.map(|left| self.context.now + left - late);
-        self.replica.unsettled_until =
-            if close { self.replica.unsettled_until.filter(|_| told.is_some()) } else { told };
+    fn merge_unsettled(&mut self, status: &RosterStatus, in_contact: bool, late: TimeSpan) {
+        let theirs = status.unsettled.map(|left| self.context.now + left - late);
+        self.replica.unsettled_until = if in_contact {
+            self.replica.unsettled_until.filter(|_| theirs.is_some())
+        } else {
+            theirs
+        };
     }
 
     /// Handles entries that are missing from a list at `mark`. Entries written later are not
--- a/crates/mesh/src/collector.rs
+++ b/crates/mesh/src/collector.rs
@@ -108,8 +108,8 @@
     }
 
     /// Sets the endpoints that the previous collector had ejected.
-    pub fn with_verdicts(self, told: impl Iterator<Item = EndpointVerdict>) -> Self {
-        let judge = OutlierDetector::begin(told, self.began_at);
+    pub fn with_verdicts(self, verdicts: impl Iterator<Item = EndpointVerdict>) -> Self {
+        let judge = OutlierDetector::begin(verdicts, self.began_at);
         MeshCollector { judge, ..self }
     }
 
@@ -159,8 +159,9 @@
         self.note_demand(&report, now);
         // A collector that was paused finds reports in its sockets that were sent before the pause.
         // They would make holders look alive whose allotments have expired since.
-        let old = report.term < context.oldest_term;
-        let allotments = if old { Vec::new() } else { self.allotments(&report, view, context) };
+        let is_stale = report.term < context.oldest_term;
+        let allotments =
+            if is_stale { Vec::new() } else { self.allotments(&report, view, context) };
         let offset = wall_offset(report.wall, now);
         let id = report.member.id.clone();
         self.loads.note(&id, &report.loads, now);
@@ -192,8 +193,8 @@
         let pause = TimeSpan(MEMBER_LIST_PERIOD.0 * members.len() as u64);
         let known = self.nodes.get(&report.member.id);
         let known = known.filter(|node| node.report.member.life == report.member.life);
-        let told_at = known.and_then(|node| node.members_sent_at);
-        told_at.is_none_or(|at| now - at >= pause).then_some(members)
+        let sent_at = known.and_then(|node| node.members_sent_at);
+        sent_at.is_none_or(|at| now - at >= pause).then_some(members)
     }
 
     fn digest(
@@ -274,9 +275,9 @@
     }
 
     /// The prefill speed of engines, combined over all processes. For a service that none of them
-    /// has observed enough, it is the known value in `told`; thus values survive a change of the
-    /// collector until reports bring new ones.
-    fn paces(&self, told: &[ServicePace], now: ClockTime) -> Vec<ServicePace> {
+    /// has observed enough, it is the known value in `previous`; thus values survive a change of
+    /// the collector until reports bring new ones.
+    fn paces(&self, previous: &[ServicePace], now: ClockTime) -> Vec<ServicePace> {
         let mut found: BTreeMap<&ServiceName, Vec<ReadPace>> = BTreeMap::new();
         for pace in self.recent(now).flat_map(|node| &node.report.paces) {
             found.entry(&pace.service).or_default().push(pace.read);
@@ -287,7 +288,7 @@
         });
         let mut paces: Vec<ServicePace> = joined.collect();
         let lacks = |pace: &&ServicePace| paces.iter().all(|found| found.service != pace.service);
-        let kept: Vec<ServicePace> = told.iter().filter(lacks).cloned().collect();
+        let kept: Vec<ServicePace> = previous.iter().filter(lacks).cloned().collect();
         paces.extend(kept);
         paces
     }
--- a/crates/mesh/src/evidence.rs
+++ b/crates/mesh/src/evidence.rs
@@ -48,12 +48,12 @@
 impl OutlierDetector {
     /// Starts from known verdicts, so that a change of the collector does not reinstate bad
     /// endpoints.
-    pub fn begin(told: impl Iterator<Item = EndpointVerdict>, now: ClockTime) -> Self {
+    pub fn begin(verdicts: impl Iterator<Item = EndpointVerdict>, now: ClockTime) -> Self {
         let record = |verdict: EndpointVerdict| {
             let record = EjectionRecord { bad_trait: verdict.bad_trait, proved_at: now };
             ((verdict.instance, verdict.life), record)
         };
-        OutlierDetector { ejected: told.map(record).collect(), ..OutlierDetector::default() }
+        OutlierDetector { ejected: verdicts.map(record).collect(), ..OutlierDetector::default() }
     }
 
     /// Adds the observations of a report. Returns the number of those left out because they name an
--- a/crates/mesh/src/rules.rs
+++ b/crates/mesh/src/rules.rs
@@ -57,8 +57,8 @@
     /// Applies when the store last confirmed the rules to a peer that has the same version; `late`
     /// is an upper bound on the time in transit.
     pub fn merge_freshness(&mut self, status: &RulesStatus, late: TimeSpan, now: ClockTime) {
-        let told = status.freshness.as_ref().map(|note| note.received(late, now));
-        if let Some(freshness) = told.filter(|freshness| freshness.mark == self.version()) {
+        let candidate = status.freshness.as_ref().map(|note| note.received(late, now));
+        if let Some(freshness) = candidate.filter(|freshness| freshness.mark == self.version()) {
             merge_newer(&mut self.freshness, freshness);
         }
     }
--- a/crates/mesh/src/view.rs
+++ b/crates/mesh/src/view.rs
@@ -221,9 +221,9 @@
     ///
     /// The current collector decides itself when to move to one of higher priority: it hands over
     /// its state and redirects the others. If each process chose for itself, some would find the
-    /// member of highest priority unresponsive and choose the next one, while that member redirected
-    /// others back. Two ledgers would share every limit, each having recorded everything spent
-    /// before, and every account would be refused for a term.
+    /// member of highest priority unresponsive and choose the next one, while that member
+    /// redirected others back. Two ledgers would share every limit, each having recorded everything
+    /// spent before, and every account would be refused for a term.
     pub fn keep_collector(&mut self, true_now: ClockTime) {
         let term = term_at(true_now).max(self.term());
         let other = self.chosen.as_mut().filter(|(id, _)| *id != self.me.id);
