--- a/crates/outlet/src/lib.rs
+++ b/crates/outlet/src/lib.rs
@@ -1,9 +1,10 @@
-//! Connections to endpoints and to the platform, with the facts that a proxy's truth depends on.
+//! Connections to endpoints and to the platform that report what a proxy must know.
 //!
-//! A client library answers "it failed". Whether a request may be sent again, and whether "not run"
-//! may be said, depends on more: may a byte have left, was the answer whole by its own framing, did
-//! the connection end or break, is anything left on it that belongs to nobody. So connections are
-//! kept here, with the codec of the library underneath.
+//! A client library reports only that a request failed. Whether a request may be resent, and
+//! whether "not run" may be stated, depends on more: whether a byte may have been sent, whether the
+//! answer was complete by its own framing, whether the connection was closed or broke, and whether
+//! unexpected bytes remain on it. Connections are therefore managed here, on top of the library's
+//! codec.
 
 pub mod link;
 pub mod pool;
--- a/crates/outlet/src/link.rs
+++ b/crates/outlet/src/link.rs
@@ -19,26 +19,26 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes read at once. Most events and small answers fit.
+/// Bytes per read. Most events and small answers fit.
 const READ_SIZE: usize = 4096;
 
 quick_error! {
-    /// Why a connection is of no more use.
+    /// Reasons why a connection cannot be used any more.
     #[derive(Debug)]
     pub enum LinkError {
-        /// No connection could be made.
+        /// No connection could be established.
         ConnectFailed(cause: io::Error) {
             display("connection failed: {}", cause)
         }
-        /// It broke or ended before the answer was whole.
+        /// The connection broke or ended before the answer was complete.
         Interrupted(cause: io::Error) {
             display("connection ended before the answer was complete: {}", cause)
         }
-        /// It brought bytes that are no HTTP.
+        /// The connection delivered bytes that are not HTTP.
         Malformed(detail: String) {
             display("invalid HTTP: {}", detail)
         }
-        /// The time limit passed.
+        /// The time limit expired.
         TimedOut(limit: Duration) {
             display("no data within {:?}", limit)
         }
@@ -52,7 +52,8 @@
     LinkError::Interrupted(io::ErrorKind::UnexpectedEof.into())
 }
 
-/// Makes the codecs of links; one a process, because the library keeps a timer with each.
+/// Creates the codecs of links; one per process, because the library keeps a timer for each
+/// configuration.
 #[derive(Clone)]
 pub struct HttpCodec {
     config: ServiceConfig,
@@ -60,21 +61,21 @@
 
 impl Default for HttpCodec {
     fn default() -> Self {
-        // Enabled, so that the library does not ask to close after each answer; how long idle
-        // links are kept is decided by the pool.
+        // Enabled, so that the library does not ask to close after each answer; the pool decides
+        // how long idle links are kept.
         let keep = KeepAlive::Timeout(Duration::from_secs(60));
         HttpCodec { config: ServiceConfig::new(keep, Duration::ZERO, Duration::ZERO, false, None) }
     }
 }
 
 impl HttpCodec {
-    /// The library's settings, for the codec of the callers' side.
+    /// Returns the library's configuration, for the codec on the callers' side.
     pub fn config(&self) -> &ServiceConfig {
         &self.config
     }
 }
 
-/// A connection on which nothing is under way.
+/// A connection without a request in flight.
 pub struct IdleLink {
     stream: TcpStream,
     buffer: BytesMut,
@@ -86,7 +87,7 @@
     /// Connects to `address` within `limit`.
     ///
     /// # Errors
-    /// [`LinkError::ConnectFailed`]; no byte of a request has left.
+    /// [`LinkError::ConnectFailed`]; no byte of a request has been sent.
     pub async fn open(address: SocketAddr, limit: Duration, bounds: SocketBounds) -> Result<Self> {
         let connecting = tokio::time::timeout(limit, TcpStream::connect(address)).await;
         let late = |_| LinkError::ConnectFailed(io::ErrorKind::TimedOut.into());
@@ -96,20 +97,20 @@
         Ok(IdleLink { stream, buffer, answers: 0, idle_since: Instant::now() })
     }
 
-    /// How many whole answers it has brought.
+    /// Number of complete answers received on this connection.
     pub fn answers(&self) -> u32 {
         self.answers
     }
 
-    /// How long nothing has been under way.
+    /// How long the connection has been idle.
     pub fn idle_for(&self) -> Duration {
         self.idle_since.elapsed()
     }
 
-    /// Whether it is still open and holds no byte that nobody asked for.
+    /// Whether the connection is still open and has no unread bytes.
     ///
-    /// Sending on a connection that its endpoint has closed would leave a doubt whether the request
-    /// ran; a byte that waits here would be taken for the beginning of the next answer.
+    /// Sending on a connection that its endpoint has closed would leave it uncertain whether the
+    /// request ran; an unread byte would be taken for the start of the next answer.
     pub fn is_reusable(&self) -> bool {
         let mut probe = [0; 1];
         let read = self.stream.try_read(&mut probe);
@@ -117,10 +118,10 @@
             && matches!(read, Err(fault) if fault.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Puts a request on the link. Nothing leaves before the answer's head is read.
+    /// Encodes a request for sending. Nothing is sent before the head of the answer is read.
     ///
     /// # Errors
-    /// [`LinkError::Malformed`] if the head cannot be written as HTTP/1.1.
+    /// [`LinkError::Malformed`] if the head cannot be encoded as HTTP/1.1.
     pub fn send(self, codec: &HttpCodec, head: RequestHead, body: Bytes) -> Result<SentLink> {
         let mut coder = ClientCodec::new(codec.config.clone());
         let head_only = head.method == Method::HEAD;
@@ -137,7 +138,7 @@
     }
 }
 
-/// A connection with a request under way whose answer has not begun.
+/// A connection with a request in flight whose answer has not started.
 pub struct SentLink {
     link: IdleLink,
     coder: ClientCodec,
@@ -147,16 +148,17 @@
 }
 
 impl SentLink {
-    /// Whether a byte of the request may have left.
+    /// Whether a byte of the request may have been sent.
     pub fn may_have_sent(&self) -> bool {
         self.may_have_sent
     }
 
-    /// Sends what is not sent yet and reads the head of the answer. An endpoint may answer before
-    /// it has read the whole body; the rest is then not sent, and the link is not used again.
+    /// Sends the rest of the request and reads the head of the answer. An endpoint may answer
+    /// before it has read the whole body; the rest is then not sent, and the link is not reused.
     ///
     /// # Errors
-    /// Any; [`may_have_sent`](Self::byte_left) tells whether the endpoint may have got something.
+    /// Any; [`may_have_sent`](Self::may_have_sent) tells whether the endpoint may have received
+    /// anything.
     pub async fn read_head(&mut self) -> Result<ResponseHead> {
         loop {
             let decoded = self.coder.decode(&mut self.link.buffer);
@@ -192,7 +194,7 @@
         }
     }
 
-    /// The body that follows `head`.
+    /// Returns the link for reading the body that follows `head`.
     pub fn into_body(self, head: &ResponseHead) -> BodyLink {
         let closes = head.connection_type() == ConnectionType::Close;
         let reusable = self.coder.keep_alive()
@@ -204,8 +206,8 @@
         let has_length = head.headers().contains_key(CONTENT_LENGTH);
         let framing = match self.coder.message_type() {
             _ if no_body => BodyFraming::Complete,
-            // The library takes an HTTP/1.1 answer without a length for an empty one; it ends with
-            // its connection (RFC 9112, section 6.3).
+            // The library treats an HTTP/1.1 answer without a length as empty; it ends with its
+            // connection (RFC 9112, section 6.3).
             MessageType::None if has_length => BodyFraming::Complete,
             MessageType::None | MessageType::Stream => BodyFraming::UntilClose,
             MessageType::Payload if head.version == Version::HTTP_10 && !has_length => {
@@ -218,15 +220,15 @@
 }
 
 enum BodyFraming {
-    /// By a length or in chunks.
+    /// A length or chunked encoding.
     Encoded(ClientPayloadCodec),
-    /// Until the connection ends.
+    /// The body lasts until the connection ends.
     UntilClose,
-    /// All of it was read.
+    /// The body was read completely.
     Complete,
 }
 
-/// A connection whose answer's body is being read.
+/// A connection whose answer body is being read.
 pub struct BodyLink {
     link: IdleLink,
     framing: BodyFraming,
@@ -234,11 +236,11 @@
 }
 
 impl BodyLink {
-    /// The next bytes of the body; `None` once it is whole.
+    /// Returns the next bytes of the body, or `None` after its end.
     ///
     /// # Errors
-    /// [`LinkError::Interrupted`] if the connection ended too early or broke, [`LinkError::Malformed`] if
-    /// the framing is wrong.
+    /// [`LinkError::Interrupted`] if the connection ended too early or broke,
+    /// [`LinkError::Malformed`] if the framing is invalid.
     pub async fn next(&mut self) -> Result<Option<Bytes>> {
         loop {
             match &mut self.framing {
@@ -273,7 +275,7 @@
         self.link.stream.read_buf(&mut self.link.buffer).await.map_err(LinkError::Interrupted)
     }
 
-    /// The link, if its answer was read whole and it can carry another request.
+    /// Returns the link if its answer was read completely and it can carry another request.
     pub fn into_idle(self) -> Option<IdleLink> {
         let whole = matches!(self.framing, BodyFraming::Complete);
         let mut link = self.link;
@@ -286,12 +288,12 @@
         Some(link)
     }
 
-    /// The link with a whole answer that belongs to nobody behind it: the answer that was asked
-    /// for may follow.
+    /// Returns the link to wait for another answer, after a complete one that belongs to no current
+    /// request.
     ///
     /// An endpoint that answered an earlier request twice leaves the second answer where the next
-    /// one is expected. Giving up here would lose a request that must not repeat, although its own
-    /// answer comes right after.
+    /// one is expected. Giving up here would lose a request that must not be repeated, although its
+    /// own answer comes right after.
     pub fn await_next_answer(self, codec: &HttpCodec) -> Option<SentLink> {
         let whole = matches!(self.framing, BodyFraming::Complete);
         (whole && self.reusable).then(|| SentLink {
--- a/crates/outlet/src/pool.rs
+++ b/crates/outlet/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, kept for reuse.
+//! A pool of idle connections.
 
 use crate::link::IdleLink;
 use oleander_kind::InstanceId;
@@ -17,8 +17,8 @@
 }
 
 impl LinkPool {
-    /// A connection to `instance` that is open, silent and younger than its limit; the one that was
-    /// used last, so that the others can grow old and go.
+    /// Returns a connection to `instance` that is open, has no unread bytes and is within its idle
+    /// limit: the most recently used one, so that the others can expire.
     pub fn take(&mut self, instance: &InstanceId) -> Option<IdleLink> {
         let links = self.links.get_mut(instance)?;
         while let Some(pooled) = links.pop() {
@@ -29,7 +29,8 @@
         None
     }
 
-    /// Keeps `link` for at most `keep`, unless `most` to `instance` are kept already.
+    /// Stores `link` for at most `keep`, unless `most` connections to `instance` are stored
+    /// already.
     pub fn put(&mut self, instance: &InstanceId, link: IdleLink, keep: Duration, most: usize) {
         let links = self.links.entry(instance.clone()).or_default();
         if links.len() < most {
@@ -37,12 +38,13 @@
         }
     }
 
-    /// Closes those to `instance`.
+    /// Closes all connections to `instance`.
     pub fn forget(&mut self, instance: &InstanceId) {
         self.links.remove(instance);
     }
 
-    /// Closes what is too old, closed by its endpoint, or to an endpoint that `stays` denies.
+    /// Closes connections that expired, were closed by the endpoint, or whose endpoint `stays`
+    /// rejects.
     pub fn sweep(&mut self, stays: impl Fn(&InstanceId) -> bool) {
         self.links.retain(|instance, links| {
             links.retain(|pooled| {
@@ -52,17 +54,17 @@
         });
     }
 
-    /// Closes all.
+    /// Closes all connections.
     pub fn clear(&mut self) {
         self.links.clear();
     }
 
-    /// How many connections are kept.
+    /// Number of stored connections.
     pub fn len(&self) -> usize {
         self.links.values().map(Vec::len).sum()
     }
 
-    /// Whether none is kept.
+    /// Whether the pool is empty.
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
--- a/crates/outlet/src/socket.rs
+++ b/crates/outlet/src/socket.rs
@@ -1,31 +1,31 @@
-//! Options of sockets.
+//! Socket options.
 
 use socket2::{Domain, SockRef, Socket, TcpKeepalive, Type};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that may wait to be accepted. After a restart every caller of a failure domain comes
-/// at once; a full queue drops them for a second each.
+/// Length of the accept queue. After a restart all callers of a failure domain connect at once; a
+/// full queue delays each dropped one by a second.
 const ACCEPT_BACKLOG: i32 = 1024;
 
-/// How soon a connection that fell silent is given up.
+/// How soon an unresponsive connection is given up.
 ///
-/// A connection whose other side lost power, or that a device on the way forgot, shows no end. Only
-/// probes and unacknowledged bytes tell.
+/// A connection whose peer lost power, or whose state a middlebox dropped, shows no end. Only
+/// keepalive probes and unacknowledged bytes reveal it.
 #[derive(Clone, Copy, Debug)]
 pub struct SocketBounds {
-    /// Idle time before the first probe, and between probes.
+    /// Idle time before the first keepalive probe, and interval between probes.
     pub probe_period: Duration,
-    /// Probes without an answer before the connection counts as dead.
+    /// Unanswered probes after which the connection is considered dead.
     pub probes: u32,
-    /// How long written bytes may stay unacknowledged.
+    /// How long sent bytes may stay unacknowledged.
     pub unacked_timeout: Duration,
 }
 
 impl Default for SocketBounds {
-    /// Dead after 3 s, which is half of what a caller of a stream bears without an event, so that
-    /// the other half is left for another endpoint.
+    /// Dead after 3 s, half of the time that a caller of a stream waits for an event, so that the
+    /// other half is left for another endpoint.
     fn default() -> Self {
         SocketBounds {
             probe_period: Duration::from_secs(1),
@@ -35,10 +35,10 @@
     }
 }
 
-/// Sets the options of a connection: no delay of small writes, and `bounds`.
+/// Sets the options of a connection: TCP_NODELAY and `bounds`.
 ///
 /// # Errors
-/// The system's.
+/// Returns the error of the system call.
 pub fn configure_socket(stream: &TcpStream, bounds: SocketBounds) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let probes = TcpKeepalive::new()
@@ -50,10 +50,10 @@
     socket.set_tcp_user_timeout(Some(bounds.unacked_timeout))
 }
 
-/// Listens at `address`. The address may be taken again right after an earlier process ended.
+/// Listens at `address`, which can be reused right after an earlier process ended.
 ///
 /// # Errors
-/// The system's.
+/// Returns the error of the system call.
 pub fn listen_socket(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/tests/all/outlet.rs
+++ b/tests/all/outlet.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: what is known after they end.
+//! Tests of connections to endpoints: what is known after they end.
 
 use crate::scripted::{Act, scripted};
 use actix_http::header::{HOST, HeaderValue};
@@ -30,8 +30,7 @@
     head
 }
 
-/// Sends a request and reads the whole answer; gives back the body and the link if it can be used
-/// again.
+/// Sends a request and reads the whole answer; returns the body, and the link if it can be reused.
 async fn exchange(
     link: IdleLink,
     body: &'static [u8],
@@ -63,7 +62,7 @@
 
 #[test]
 fn an_answer_that_ends_early_is_an_error_in_any_framing() {
-    // The caller must not take half an answer for a whole one. The endpoint closes before the
+    // A caller must not take half an answer for a complete one. The endpoint closes before the
     // length is reached, or before the last chunk.
     run(async {
         let by_length = "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello";
@@ -80,8 +79,8 @@
 
 #[test]
 fn an_answer_without_a_length_ends_with_its_connection() {
-    // The endpoint sends no length. Closed in order the answer is whole; reset it is cut. The
-    // library takes such an answer for an empty one.
+    // The endpoint sends no length: the answer is complete after an orderly close and cut after a
+    // reset. The library treats such an answer as empty.
     run(async {
         let answer = "HTTP/1.1 200 OK\r\n\r\nhello";
         let whole = scripted(vec![vec![say(answer), Act::Close]]).await;
@@ -98,7 +97,7 @@
 
 #[test]
 fn a_link_with_unread_bytes_is_not_reused() {
-    // The next caller would get the answer of another. The endpoint answers one request twice.
+    // The endpoint answers one request twice. The next caller must not get the answer of another.
     run(async {
         let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         let endpoint = scripted(vec![vec![say(&answer.repeat(2))]]).await;
@@ -112,8 +111,8 @@
 
 #[test]
 fn an_answer_before_the_body_was_read_makes_the_link_unusable() {
-    // The endpoint rejects a long request before it has read it and keeps the connection. The rest
-    // of the body would be taken for the next request.
+    // The endpoint rejects a long request before reading it and keeps the connection. The rest of
+    // the body would be taken for the next request.
     run(async {
         static LONG: [u8; 8 << 20] = [b'x'; 8 << 20];
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -146,7 +145,7 @@
 
 #[test]
 fn the_pool_never_returns_a_closed_link() {
-    // A request sent on it would be lost in doubt: nobody could say whether it ran.
+    // A request sent on it would have an uncertain result: nobody could say whether it ran.
     run(async {
         let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         let endpoint = scripted(vec![vec![say(answer), Act::Close]]).await;
--- a/tests/all/scripted.rs
+++ b/tests/all/scripted.rs
@@ -1,4 +1,4 @@
-//! Endpoints that answer by script, for tests of connections.
+//! Endpoints with scripted answers, for connection tests.
 
 use bytes::{Buf, BytesMut};
 use std::cell::RefCell;
@@ -7,30 +7,30 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a scripted endpoint does with a request.
+/// An action of a scripted endpoint on a request.
 #[derive(Clone, Debug)]
 pub enum Act {
-    /// Writes these bytes; `{id}` stands for the request's id.
+    /// Writes these bytes; `{id}` is replaced by the request id.
     Say(String),
-    /// Closes the connection in order.
+    /// Closes the connection in an orderly way.
     Close,
     /// Resets the connection.
     Reset,
-    /// Waits for the other side to close, and notes it.
+    /// Waits for the peer to close the connection, and counts it.
     AwaitClose,
 }
 
-/// A request as it arrived.
+/// A received request.
 #[derive(Clone, Debug, Default)]
 pub struct SeenRequest {
-    /// Its head.
+    /// The head of the request.
     pub head: String,
-    /// Its body.
+    /// The body of the request.
     pub body: Vec<u8>,
 }
 
 impl SeenRequest {
-    /// A header's value.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -39,26 +39,26 @@
     }
 }
 
-/// What a scripted endpoint saw.
+/// What a scripted endpoint received.
 #[derive(Clone, Debug, Default)]
 pub struct SeenCalls {
-    /// Requests, in order.
+    /// Requests in order.
     pub requests: Vec<SeenRequest>,
-    /// Connections made.
+    /// Number of connections accepted.
     pub connections: usize,
-    /// Connections that the other side closed while it was waited for.
+    /// Connections that the peer closed during [`Act::AwaitClose`].
     pub left: usize,
 }
 
-/// An endpoint that answers by script.
+/// An endpoint with scripted answers.
 pub struct Scripted {
-    /// Where it listens.
+    /// The address it listens at.
     pub address: SocketAddr,
-    /// What it saw.
+    /// What it received.
     pub seen: Rc<RefCell<SeenCalls>>,
 }
 
-/// Listens on loopback; the n-th request gets the n-th list of acts, the last one for all others.
+/// Listens on loopback; the n-th request runs the n-th list of actions, further ones the last.
 pub async fn scripted(script: Vec<Vec<Act>>) -> Scripted {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
