--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -125,8 +125,8 @@
             "number": told.number,
             "decided_within_ms": told.ends_in.0,
             "sent": running.map(RunningOrder::sent),
-            "seen": running.map(|running| running.plan.case.seen()),
-            "score": running.map(|running| running.plan.case.score()),
+            "seen": running.map(|running| running.plan.comparison.seen()),
+            "score": running.map(|running| running.plan.comparison.score()),
         })
     };
     let held = |(service, version): &(ServiceName, CompactString)| {
--- a/crates/front/src/releases.rs
+++ b/crates/front/src/releases.rs
@@ -166,9 +166,9 @@
         let Some(running) = desk.running.get_mut(&fact.entry.service) else { continue };
         if fact.entry.release == running.plan.order().to {
             let instance = CompactString::from(seen.instance.as_str());
-            running.plan.case.record_trial(route, &instance, &seen.tally);
+            running.plan.comparison.record_trial(route, &instance, &seen.tally);
         } else {
-            running.plan.case.record_serving(route, &seen.tally, now);
+            running.plan.comparison.record_serving(route, &seen.tally, now);
         }
     }
 }
--- a/crates/front/src/releases/keep.rs
+++ b/crates/front/src/releases/keep.rs
@@ -278,8 +278,8 @@
     event!(node, ReleaseStaged;
         "service" => service.as_str(), "to" => running.plan.order().to.as_str(),
         "stage" => format!("{stage:?}"), "number" => running.plan.number(),
-        "seen" => running.plan.case.seen(), "score" => format!("{:.1}", running.plan.case.score()),
-        "sent" => facts.sent, "handed" => facts.handed, "endpoints" => facts.trial_endpoints);
+        "seen" => running.plan.comparison.seen(), "score" => format!("{:.1}", running.plan.comparison.score()),
+        "sent" => facts.sent, "handed" => facts.granted, "endpoints" => facts.trial_endpoints);
 }
 
 fn plan_facts(node: &FrontNode, service: &ServiceName, now: ClockTime) -> PlanInputs {
@@ -290,10 +290,10 @@
     let Some(collector) = mesh.collector.as_ref() else { return PlanInputs::default() };
     let order = running.plan.order();
     let account = exposure_account(service, &order.to);
-    let handed = collector.windows().find(|(name, _)| **name == account);
+    let granted = collector.windows().find(|(name, _)| **name == account);
     let live = board.of_service(service).iter().filter_map(|key| board.get(*key));
     let live = live.filter(|fact| fact.takes_work() && fact.entry.release == order.to);
-    let is_left = match running.plan.stage() {
+    let is_former_idle = match running.plan.stage() {
         ReleaseStage::Moving { full_at } => {
             let facts = board.of_service(service).iter().filter_map(|key| board.get(*key));
             let former = facts.filter(|fact| fact.entry.release != order.to);
@@ -308,9 +308,9 @@
     PlanInputs {
         sent: running.sent(),
         rate_per_s: collector.demand_of(service, now).requests,
-        handed: handed.map_or(0.0, |(_, stand)| (stand.spent + stand.open) as f64),
+        granted: granted.map_or(0.0, |(_, stand)| (stand.spent + stand.open) as f64),
         trial_endpoints: live.count(),
-        is_left,
+        is_former_idle,
     }
 }
 
--- a/crates/judge/src/verdict.rs
+++ b/crates/judge/src/verdict.rs
@@ -54,7 +54,7 @@
     /// Observations of all processes.
     pub sum: EvidenceSum,
     /// The previous verdict.
-    pub before: Option<BadTrait>,
+    pub previous: Option<BadTrait>,
 }
 
 /// Returns the endpoints of one service that are to be set aside, and why, worst first.
@@ -107,11 +107,11 @@
 
 /// The ratio from which an endpoint is an outlier.
 fn excess_threshold<K>(one: &ServiceEvidence<K>, bad_trait: BadTrait) -> f64 {
-    if one.before == Some(bad_trait) { HYSTERESIS_FRACTION } else { 1.0 }
+    if one.previous == Some(bad_trait) { HYSTERESIS_FRACTION } else { 1.0 }
 }
 
 fn failure_excess<K>(one: &ServiceEvidence<K>, baseline: Option<&ServiceBaseline>) -> Option<f64> {
-    let was_aside = one.before == Some(BadTrait::Failing);
+    let was_aside = one.previous == Some(BadTrait::Failing);
     let median_value = baseline?.median_value;
     // An endpoint that is set aside gets few requests, so with the noise bound it would be cleared
     // as soon as its first observations decay.
@@ -133,7 +133,7 @@
 }
 
 fn slowness_excess<K>(one: &ServiceEvidence<K>, baseline: Option<&ServiceBaseline>) -> Option<f64> {
-    let was_aside = one.before == Some(BadTrait::Slow);
+    let was_aside = one.previous == Some(BadTrait::Slow);
     let baseline = baseline?;
     let has_enough_answers =
         has_enough_timings(&one) || (was_aside && one.sum.came >= MIN_ANSWERS_ASIDE);
--- a/crates/mesh/src/evidence.rs
+++ b/crates/mesh/src/evidence.rs
@@ -92,10 +92,11 @@
         for endpoints in services {
             self.judge_one(endpoints, now, &mut aside);
         }
-        let before = std::mem::replace(&mut self.aside, aside);
-        let was = |endpoint: &EndpointLife| before.get(endpoint).map(|mark| mark.bad_trait);
+        let previous = std::mem::replace(&mut self.aside, aside);
+        let was = |endpoint: &EndpointLife| previous.get(endpoint).map(|mark| mark.bad_trait);
         let is = |endpoint: &EndpointLife| self.aside.get(endpoint).map(|mark| mark.bad_trait);
-        let named: std::collections::BTreeSet<_> = before.keys().chain(self.aside.keys()).collect();
+        let named: std::collections::BTreeSet<_> =
+            previous.keys().chain(self.aside.keys()).collect();
         let changed = named.into_iter().filter(|endpoint| was(endpoint) != is(endpoint));
         let change = |endpoint: &EndpointLife| VerdictChange {
             endpoint: endpoint.clone(),
@@ -119,7 +120,7 @@
         let evidence = |at: usize| ServiceEvidence {
             endpoint: at,
             sum: self.book.sum(&endpoints[at], now),
-            before: self.aside.get(&endpoints[at]).map(|mark| mark.bad_trait),
+            previous: self.aside.get(&endpoints[at]).map(|mark| mark.bad_trait),
         };
         let known: Vec<_> = (0..endpoints.len()).map(evidence).collect();
         let mut left = max_set_aside(endpoints.len());
--- a/crates/outlet/src/pool.rs
+++ b/crates/outlet/src/pool.rs
@@ -29,11 +29,11 @@
         None
     }
 
-    /// Stores `link` for at most `keep`, unless `most` connections to `instance` are stored
+    /// Stores `link` for at most `keep`, unless `max_idle` connections to `instance` are stored
     /// already.
-    pub fn put(&mut self, instance: &InstanceId, link: IdleLink, keep: Duration, most: usize) {
+    pub fn put(&mut self, instance: &InstanceId, link: IdleLink, keep: Duration, max_idle: usize) {
         let links = self.links.entry(instance.clone()).or_default();
-        if links.len() < most {
+        if links.len() < max_idle {
             links.push(PooledLink { link, keep });
         }
     }
@@ -43,12 +43,14 @@
         self.links.remove(instance);
     }
 
-    /// Closes connections that expired, were closed by the endpoint, or whose endpoint `stays`
-    /// rejects.
-    pub fn sweep(&mut self, stays: impl Fn(&InstanceId) -> bool) {
+    /// Closes connections that expired, were closed by the endpoint, or lead to an instance that is
+    /// not live according to `is_live`.
+    pub fn sweep(&mut self, is_live: impl Fn(&InstanceId) -> bool) {
         self.links.retain(|instance, links| {
             links.retain(|pooled| {
-                pooled.link.idle_for() < pooled.keep && pooled.link.is_reusable() && stays(instance)
+                pooled.link.idle_for() < pooled.keep
+                    && pooled.link.is_reusable()
+                    && is_live(instance)
             });
             !links.is_empty()
         });
--- a/crates/release/src/comparison.rs
+++ b/crates/release/src/comparison.rs
@@ -211,13 +211,13 @@
         endpoint: &CompactString,
         tally: &EvidenceTally,
     ) {
-        let case = self.routes.entry(route.clone()).or_default();
-        case.pending.push((endpoint.clone(), *tally));
+        let comparison = self.routes.entry(route.clone()).or_default();
+        comparison.pending.push((endpoint.clone(), *tally));
     }
 
     /// Scores the answers received since the last evaluation against the current baseline.
     pub fn evaluate(&mut self, now: ClockTime) {
-        self.routes.values_mut().for_each(|case| case.evaluate(now));
+        self.routes.values_mut().for_each(|comparison| comparison.evaluate(now));
         self.evaluated_at = now;
     }
 
@@ -229,25 +229,26 @@
 
     /// Whether every main route has enough answers and nothing indicates a fault.
     pub fn is_sound(&self) -> bool {
-        let all: f64 = self.routes.values().map(|case| case.baseline_total.seen).sum();
-        let is_main =
-            |case: &&RouteComparison| case.baseline_total.seen >= all * MAIN_ROUTE_FRACTION;
+        let all: f64 = self.routes.values().map(|comparison| comparison.baseline_total.seen).sum();
+        let is_main = |comparison: &&RouteComparison| {
+            comparison.baseline_total.seen >= all * MAIN_ROUTE_FRACTION
+        };
         let mut main = self.routes.values().filter(is_main);
-        let is_clear = main.all(|case| {
-            case.trial_total.seen >= MIN_ANSWERS_PER_ROUTE
-                && !case.baseline_is_failing(self.evaluated_at)
+        let is_clear = main.all(|comparison| {
+            comparison.trial_total.seen >= MIN_ANSWERS_PER_ROUTE
+                && !comparison.baseline_is_failing(self.evaluated_at)
         });
         is_clear && self.seen() >= MIN_ANSWERS && self.score() <= MAX_SOUND_SCORE
     }
 
     /// Returns the number of answers of the version under trial.
     pub fn seen(&self) -> f64 {
-        self.routes.values().map(|case| case.trial_total.seen).sum()
+        self.routes.values().map(|comparison| comparison.trial_total.seen).sum()
     }
 
     /// Returns the highest score of any route as of the last evaluation.
     pub fn score(&self) -> f64 {
-        let scores = self.routes.values().map(|case| case.score(self.evaluated_at));
+        let scores = self.routes.values().map(|comparison| comparison.score(self.evaluated_at));
         scores.fold(f64::MIN, f64::max)
     }
 }
--- a/crates/release/src/plan.rs
+++ b/crates/release/src/plan.rs
@@ -69,11 +69,11 @@
     /// Requests of the service per second.
     pub rate_per_s: f64,
     /// Requests granted to the version.
-    pub handed: f64,
+    pub granted: f64,
     /// Endpoints of the version that take requests.
     pub trial_endpoints: usize,
     /// Whether every process follows the current plan and has no request at the former version.
-    pub is_left: bool,
+    pub is_former_idle: bool,
 }
 
 /// An action that results from a step.
@@ -99,7 +99,7 @@
     move_bound: f64,
     written: Option<ReleaseState>,
     /// Comparison of the answers of both versions.
-    pub case: VersionComparison,
+    pub comparison: VersionComparison,
 }
 
 impl ReleasePlan {
@@ -132,7 +132,7 @@
             number,
             move_bound: 0.0,
             written,
-            case: VersionComparison::default(),
+            comparison: VersionComparison::default(),
         }
     }
 
@@ -195,12 +195,12 @@
     }
 
     /// Advances the plan and returns the resulting actions.
-    pub fn step(&mut self, facts: &PlanInputs, now: ClockTime) -> Vec<PlanAction> {
-        self.case.evaluate(now);
+    pub fn step(&mut self, inputs: &PlanInputs, now: ClockTime) -> Vec<PlanAction> {
+        self.comparison.evaluate(now);
         let before = self.stage;
         match self.stage {
-            ReleaseStage::Trying => self.step_trial(facts, now),
-            ReleaseStage::Moving { full_at } => self.step_move(facts, (full_at, now)),
+            ReleaseStage::Trying => self.step_trial(inputs, now),
+            ReleaseStage::Moving { full_at } => self.step_move(inputs, (full_at, now)),
             ReleaseStage::Completed | ReleaseStage::RolledBack(_) => {}
         }
         let wanted = match self.stage {
@@ -214,54 +214,55 @@
         tell.into_iter().chain(write.then_some(PlanAction::Write(wanted))).collect()
     }
 
-    fn step_trial(&mut self, facts: &PlanInputs, now: ClockTime) {
+    fn step_trial(&mut self, inputs: &PlanInputs, now: ClockTime) {
         let tried = TimeSpan((self.order.lasts.0 as f64 * TRIAL_TIME_FRACTION) as u64);
         let is_tried = now - self.began_at >= tried || now + tried >= self.ends_at;
-        if self.case.is_bad() {
+        if self.comparison.is_bad() {
             self.enter(ReleaseStage::RolledBack(PlanReason::Bad));
-        } else if is_tried && facts.trial_endpoints > 0 && self.case.is_sound() {
-            self.set_cutover(facts, now);
+        } else if is_tried && inputs.trial_endpoints > 0 && self.comparison.is_sound() {
+            self.set_cutover(inputs, now);
         } else if now + DECISION_MARGIN >= self.ends_at {
             self.enter(ReleaseStage::RolledBack(PlanReason::Undecided));
         }
     }
 
-    fn step_move(&mut self, facts: &PlanInputs, (full_at, now): (ClockTime, ClockTime)) {
-        if self.case.is_bad() {
+    fn step_move(&mut self, inputs: &PlanInputs, (full_at, now): (ClockTime, ClockTime)) {
+        if self.comparison.is_bad() {
             self.enter(ReleaseStage::RolledBack(PlanReason::Bad));
-        } else if facts.trial_endpoints == 0 {
+        } else if inputs.trial_endpoints == 0 {
             self.enter(ReleaseStage::RolledBack(PlanReason::Gone));
-        } else if now >= full_at && facts.is_left {
+        } else if now >= full_at && inputs.is_former_idle {
             self.enter(ReleaseStage::Completed);
         } else if now < full_at {
             // If the request rate rose since the cutover was set, the cutover is postponed; if more
             // requests arrived than expected, more may move before it.
-            let remaining_bound = self.remaining_bound(facts, now);
-            let full = full_time(remaining_bound, facts.rate_per_s);
+            let remaining_bound = self.remaining_bound(inputs, now);
+            let full = full_time(remaining_bound, inputs.rate_per_s);
             if full < self.ends_at - full_at {
                 self.enter(ReleaseStage::Moving { full_at: self.ends_at - full });
             } else {
                 let kept =
-                    (self.ends_at - full_at).0 as f64 / 1000.0 * facts.rate_per_s * RATE_MARGIN;
+                    (self.ends_at - full_at).0 as f64 / 1000.0 * inputs.rate_per_s * RATE_MARGIN;
                 self.move_bound += (remaining_bound - kept).max(0.0);
             }
         }
     }
 
     /// Sets the cutover time.
-    fn set_cutover(&mut self, facts: &PlanInputs, now: ClockTime) {
-        let remaining_bound = self.remaining_bound(facts, now);
-        let full = full_time(remaining_bound * CUTOVER_FRACTION, facts.rate_per_s);
+    fn set_cutover(&mut self, inputs: &PlanInputs, now: ClockTime) {
+        let remaining_bound = self.remaining_bound(inputs, now);
+        let full = full_time(remaining_bound * CUTOVER_FRACTION, inputs.rate_per_s);
         let full_at = (self.ends_at - full).max(now + ANNOUNCE_TIME);
-        self.move_bound = facts.handed + remaining_bound * (1.0 - CUTOVER_FRACTION);
+        self.move_bound = inputs.granted + remaining_bound * (1.0 - CUTOVER_FRACTION);
         self.enter(ReleaseStage::Moving { full_at });
     }
 
     /// Returns what is left of the bound, which is based on all requests expected until the end of
     /// the order.
-    fn remaining_bound(&self, facts: &PlanInputs, now: ClockTime) -> f64 {
-        let to_come = (self.ends_at - now).0 as f64 / 1000.0 * facts.rate_per_s / RATE_MARGIN;
-        (self.bounds.move_bound(facts.sent + to_come) - facts.handed.max(self.move_bound)).max(0.0)
+    fn remaining_bound(&self, inputs: &PlanInputs, now: ClockTime) -> f64 {
+        let to_come = (self.ends_at - now).0 as f64 / 1000.0 * inputs.rate_per_s / RATE_MARGIN;
+        (self.bounds.move_bound(inputs.sent + to_come) - inputs.granted.max(self.move_bound))
+            .max(0.0)
     }
 
     fn enter(&mut self, stage: ReleaseStage) {
--- a/crates/release/src/routing.rs
+++ b/crates/release/src/routing.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long unknown versions wait for the orders. After that the oldest version serves, so that
-/// callers of a process that is isolated are not refused.
+/// callers of an isolated process are not refused.
 const UNKNOWN_VERSION_TIMEOUT: TimeSpan = TimeSpan(2000);
 
 /// The fraction of the trial share that continues while requests with long answers move.
@@ -100,23 +100,23 @@
 
 #[derive(Clone, Debug)]
 struct KnownOrder {
-    told: OrderStatus,
+    status: OrderStatus,
     at: ClockTime,
 }
 
 impl KnownOrder {
     /// Whether the order is neither completed nor rolled back.
     fn is_open(&self) -> bool {
-        matches!(self.told.stage, AnnouncedStage::Trying | AnnouncedStage::Moving { .. })
+        matches!(self.status.stage, AnnouncedStage::Trying | AnnouncedStage::Moving { .. })
     }
 
     fn is_moving(&self) -> bool {
-        matches!(self.told.stage, AnnouncedStage::Moving { .. })
+        matches!(self.status.stage, AnnouncedStage::Moving { .. })
     }
 
     /// Whether the version gets all requests by now.
     fn is_full(&self, now: ClockTime) -> bool {
-        match self.told.stage {
+        match self.status.stage {
             AnnouncedStage::Moving { full_in } => now >= self.at + full_in,
             AnnouncedStage::Completed => true,
             AnnouncedStage::Trying | AnnouncedStage::Back => false,
@@ -131,7 +131,7 @@
     orders: BTreeMap<ServiceName, KnownOrder>,
     held: BTreeSet<(ServiceName, CompactString)>,
     /// Versions that serve.
-    open: BTreeMap<ServiceName, BTreeSet<CompactString>>,
+    serving: BTreeMap<ServiceName, BTreeSet<CompactString>>,
     unknown_since: BTreeMap<ServiceName, ClockTime>,
 }
 
@@ -151,15 +151,15 @@
         self.held.extend(news.held.iter().cloned());
         self.hold_withdrawn_versions(&news.told);
         let at = now - late;
-        let heard =
-            |told: &OrderStatus| (told.service.clone(), KnownOrder { told: told.clone(), at });
-        self.orders = news.told.iter().map(heard).collect();
+        let known =
+            |told: &OrderStatus| (told.service.clone(), KnownOrder { status: told.clone(), at });
+        self.orders = news.told.iter().map(known).collect();
         // A held version that is ordered again follows its new order.
         for told in &news.told {
             self.held.remove(&(told.service.clone(), told.to.clone()));
         }
         for told in news.told.iter().filter(|told| told.stage == AnnouncedStage::Completed) {
-            let open = self.open.entry(told.service.clone()).or_default();
+            let open = self.serving.entry(told.service.clone()).or_default();
             open.clear();
             open.insert(told.to.clone());
         }
@@ -167,20 +167,22 @@
 
     /// Holds the versions of orders that disappeared before they were completed.
     fn hold_withdrawn_versions(&mut self, told: &[OrderStatus]) {
-        let is_told = |order: &KnownOrder| {
-            let same =
-                |one: &OrderStatus| one.service == order.told.service && one.to == order.told.to;
+        let is_current = |order: &KnownOrder| {
+            let same = |one: &OrderStatus| {
+                one.service == order.status.service && one.to == order.status.to
+            };
             told.iter().any(same)
         };
-        let is_done = |order: &KnownOrder| order.told.stage == AnnouncedStage::Completed;
-        let gone = self.orders.values().filter(|order| !is_done(order) && !is_told(order));
-        let gone = gone.map(|order| (order.told.service.clone(), order.told.to.clone()));
+        let is_done = |order: &KnownOrder| order.status.stage == AnnouncedStage::Completed;
+        let gone = self.orders.values().filter(|order| !is_done(order) && !is_current(order));
+        let gone = gone.map(|order| (order.status.service.clone(), order.status.to.clone()));
         self.held.extend(gone.collect::<Vec<_>>());
     }
 
     /// Returns the accounts that pay for requests to versions under trial.
     pub fn trial_accounts(&self) -> Vec<AccountName> {
-        let account = |order: &KnownOrder| exposure_account(&order.told.service, &order.told.to);
+        let account =
+            |order: &KnownOrder| exposure_account(&order.status.service, &order.status.to);
         self.orders.values().filter(|order| order.is_open()).map(account).collect()
     }
 
@@ -189,13 +191,13 @@
         let told = |order: &KnownOrder| {
             let ago = now - order.at;
             let left = |span: TimeSpan| TimeSpan(span.0.saturating_sub(ago.0));
-            let stage = match &order.told.stage {
+            let stage = match &order.status.stage {
                 AnnouncedStage::Moving { full_in } => {
                     AnnouncedStage::Moving { full_in: left(*full_in) }
                 }
                 other => other.clone(),
             };
-            OrderStatus { stage, ends_in: left(order.told.ends_in), ..order.told.clone() }
+            OrderStatus { stage, ends_in: left(order.status.ends_in), ..order.status.clone() }
         };
         OrderNews {
             mark: self.mark,
@@ -206,14 +208,14 @@
 
     /// Returns the plan number of each service that this process follows, for its reports.
     pub fn followed(&self) -> Vec<(ServiceName, u64)> {
-        let followed = |order: &KnownOrder| (order.told.service.clone(), order.told.number);
+        let followed = |order: &KnownOrder| (order.status.service.clone(), order.status.number);
         self.orders.values().map(followed).collect()
     }
 
     /// Returns the version of a service that is under an undecided order.
     pub fn tried(&self, service: &ServiceName) -> Option<&CompactString> {
         let order = self.orders.get(service).filter(|order| order.is_open())?;
-        Some(&order.told.to)
+        Some(&order.status.to)
     }
 
     /// Whether a version is about to get all requests of a service.
@@ -236,7 +238,7 @@
     ) -> bool {
         let is_listed = |version: &CompactString| listed.iter().any(|one| one.version == *version);
         self.held.retain(|(other, version)| other != service || is_listed(version));
-        let mut open = self.open.remove(service).unwrap_or_default();
+        let mut open = self.serving.remove(service).unwrap_or_default();
         open.retain(is_listed);
         let mut unknown = Vec::new();
         for one in listed {
@@ -258,7 +260,7 @@
             let oldest = unknown.iter().min_by_key(|one| (one.life, one.revision));
             open.extend(oldest.map(|one| one.version.clone()));
         }
-        self.open.insert(service.clone(), open);
+        self.serving.insert(service.clone(), open);
         !unknown.is_empty()
     }
 
@@ -266,7 +268,7 @@
     fn is_governed(&self, service: &ServiceName, version: &CompactString) -> bool {
         let order = self.orders.get(service);
         let ordered = order.is_some_and(|order| {
-            order.told.to == *version && order.told.stage != AnnouncedStage::Completed
+            order.status.to == *version && order.status.stage != AnnouncedStage::Completed
         });
         ordered || self.held.contains(&(service.clone(), version.clone()))
     }
@@ -280,12 +282,12 @@
     ) -> bool {
         let order = self.orders.get(service);
         if let Some(order) = order.filter(|order| order.is_full(now)) {
-            return order.told.to == *version;
+            return order.status.to == *version;
         }
         match lane {
             VersionLane::Trial => self.tried(service) == Some(version),
             VersionLane::Serving => {
-                let is_open = self.open.get(service).is_some_and(|open| open.contains(version));
+                let is_open = self.serving.get(service).is_some_and(|open| open.contains(version));
                 is_open && !self.is_governed(service, version)
             }
         }
@@ -301,7 +303,7 @@
         (takes, now): (TimeSpan, ClockTime),
     ) -> Option<AccountName> {
         let order = self.orders.get(service).filter(|order| !order.is_full(now))?;
-        let is_wanted = match order.told.stage {
+        let is_wanted = match order.status.stage {
             AnnouncedStage::Trying => lot < share,
             // The request would still be running at the former version when that version must be
             // idle.
@@ -310,6 +312,6 @@
             }
             AnnouncedStage::Completed | AnnouncedStage::Back => false,
         };
-        is_wanted.then(|| exposure_account(service, &order.told.to))
+        is_wanted.then(|| exposure_account(service, &order.status.to))
     }
 }
--- a/crates/suspect/src/fingerprint.rs
+++ b/crates/suspect/src/fingerprint.rs
@@ -50,7 +50,7 @@
     }
 
     /// The low 64 bits, which are evenly distributed.
-    pub fn spread(self) -> u64 {
+    pub fn low_bits(self) -> u64 {
         self.0 as u64
     }
 }
--- a/crates/suspect/src/monitor.rs
+++ b/crates/suspect/src/monitor.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Default)]
 pub struct CrashMonitor {
     broken: VecDeque<BrokenAttempt>,
-    ended: VecDeque<(EndpointIncarnation, ClockTime)>,
+    crashed: VecDeque<(EndpointIncarnation, ClockTime)>,
     probed: VecDeque<(EndpointIncarnation, ClockTime)>,
 }
 
@@ -65,15 +65,16 @@
         times: AttemptTimes,
     ) -> CrashAttribution {
         let AttemptTimes { sent_at, last_answer_at, at } = times;
-        self.sweep(at);
+        self.expire(at);
         let before = |end: &EndpointCrash| last_answer_at < end.at && end.at < sent_at;
-        let was_broken = |broken: &BrokenAttempt| broken.end.life == *life && before(&broken.end);
-        let was_ended =
-            |(ended, since): &(EndpointIncarnation, ClockTime)| ended == life && *since < sent_at;
-        if self.broken.iter().any(was_broken) || self.ended.iter().any(was_ended) {
+        let broke_before = |broken: &BrokenAttempt| broken.end.life == *life && before(&broken.end);
+        let crashed_before = |(crashed, since): &(EndpointIncarnation, ClockTime)| {
+            crashed == life && *since < sent_at
+        };
+        if self.broken.iter().any(broke_before) || self.crashed.iter().any(crashed_before) {
             return CrashAttribution::Unrelated;
         }
-        if self.ended.iter().any(|(ended, _)| ended == life) {
+        if self.crashed.iter().any(|(crashed, _)| crashed == life) {
             return CrashAttribution::Confirmed;
         }
         let end = EndpointCrash { life: life.clone(), at, ran: at - sent_at };
@@ -87,14 +88,14 @@
         life: &EndpointIncarnation,
         now: ClockTime,
     ) -> Vec<(RequestFingerprint, EndpointCrash)> {
-        self.sweep(now);
-        if self.ended.iter().all(|(ended, _)| ended != life) {
-            push_bounded(&mut self.ended, (life.clone(), now));
+        self.expire(now);
+        if self.crashed.iter().all(|(crashed, _)| crashed != life) {
+            push_bounded(&mut self.crashed, (life.clone(), now));
         }
-        let is_under = |broken: &BrokenAttempt| broken.end.life == *life;
-        let (under, others): (VecDeque<_>, _) = self.broken.drain(..).partition(is_under);
+        let ran_there = |broken: &BrokenAttempt| broken.end.life == *life;
+        let (affected, others): (VecDeque<_>, _) = self.broken.drain(..).partition(ran_there);
         self.broken = others;
-        under.into_iter().map(|broken| (broken.fingerprint, broken.end)).collect()
+        affected.into_iter().map(|broken| (broken.fingerprint, broken.end)).collect()
     }
 
     /// Whether the caller should probe `life` now; `false` if it was probed recently.
@@ -107,9 +108,9 @@
         is_due
     }
 
-    fn sweep(&mut self, now: ClockTime) {
+    fn expire(&mut self, now: ClockTime) {
         self.broken.retain(|broken| now - broken.end.at < MATCH_WINDOW);
-        self.ended.retain(|(_, at)| now - *at < MATCH_WINDOW);
+        self.crashed.retain(|(_, at)| now - *at < MATCH_WINDOW);
     }
 }
 
--- a/crates/suspect/src/tracker.rs
+++ b/crates/suspect/src/tracker.rs
@@ -43,21 +43,21 @@
 #[derive(Debug, Default)]
 struct AnswerCache {
     recent: HashMap<RequestFingerprint, ClockTime>,
-    old: HashMap<RequestFingerprint, ClockTime>,
+    older: HashMap<RequestFingerprint, ClockTime>,
     rotated_at: ClockTime,
 }
 
 impl AnswerCache {
-    fn note(&mut self, fingerprint: RequestFingerprint, now: ClockTime) {
+    fn insert(&mut self, fingerprint: RequestFingerprint, now: ClockTime) {
         if now - self.rotated_at > EXONERATION_WINDOW || self.recent.len() >= MAX_ANSWERED {
-            self.old = std::mem::take(&mut self.recent);
+            self.older = std::mem::take(&mut self.recent);
             self.rotated_at = now;
         }
         self.recent.insert(fingerprint, now);
     }
 
     fn at(&self, fingerprint: &RequestFingerprint) -> Option<ClockTime> {
-        self.recent.get(fingerprint).or_else(|| self.old.get(fingerprint)).copied()
+        self.recent.get(fingerprint).or_else(|| self.older.get(fingerprint)).copied()
     }
 }
 
@@ -95,7 +95,7 @@
 
     /// Records that a request was answered: an endpoint survived it.
     pub fn note_answer(&mut self, fingerprint: RequestFingerprint, now: ClockTime) {
-        self.answers.note(fingerprint, now);
+        self.answers.insert(fingerprint, now);
         if let Some(record) = self.records.get_mut(&fingerprint)
             && record.note_answer(now)
         {
@@ -105,17 +105,17 @@
 
     /// Merges updates of another process. Anything new that this causes here is reported to the
     /// collector.
-    pub fn merge(&mut self, notes: &[SuspectUpdate], now: ClockTime) {
-        for note in notes {
-            self.merge_update(note, now);
+    pub fn merge(&mut self, updates: &[SuspectUpdate], now: ClockTime) {
+        for update in updates {
+            self.merge_update(update, now);
         }
     }
 
-    fn merge_update(&mut self, note: &SuspectUpdate, now: ClockTime) {
-        let fingerprint = note.print;
+    fn merge_update(&mut self, update: &SuspectUpdate, now: ClockTime) {
+        let fingerprint = update.print;
         let own_answer = self.answers.at(&fingerprint);
         let record = self.records.entry(fingerprint).or_default();
-        if let Some(age) = note.answered {
+        if let Some(age) = update.answered {
             record.note_answer(now - age);
         }
         // The request was answered here, which the process that reports its crashes cannot know.
@@ -124,7 +124,7 @@
         {
             self.unreported.insert(fingerprint);
         }
-        for end in note.ends.iter().filter(|end| end.age < CRASH_RETENTION) {
+        for end in update.ends.iter().filter(|end| end.age < CRASH_RETENTION) {
             let (life, at) = (end.life.clone(), now - end.age);
             record.record_crash(EndpointCrash { life, at, ran: end.ran });
         }
@@ -154,11 +154,11 @@
         order.sort_unstable();
         let least: Vec<_> =
             order.into_iter().take(excess).map(|(_, _, fingerprint)| fingerprint).collect();
-        let forget = |fingerprint: RequestFingerprint| {
+        let evict = |fingerprint: RequestFingerprint| {
             self.records.remove(&fingerprint);
             SuspectChange::Evicted(fingerprint)
         };
-        least.into_iter().map(forget).collect()
+        least.into_iter().map(evict).collect()
     }
 
     fn share(&mut self) {
@@ -171,10 +171,10 @@
         self.shared =
             order.into_iter().take(MAX_SHARED).map(|(_, _, fingerprint)| fingerprint).collect();
         self.shared.sort_unstable();
-        let mark = |state, fingerprint: &RequestFingerprint| {
+        let hash = |state, fingerprint: &RequestFingerprint| {
             hash_record(state, *fingerprint, &self.records[fingerprint])
         };
-        self.shared_hash = self.shared.iter().fold(HASH_START, mark);
+        self.shared_hash = self.shared.iter().fold(HASH_START, hash);
     }
 
     /// Returns how much longer a request is quarantined, `None` if it is not.
@@ -183,8 +183,8 @@
     /// the caller is asked to retry when the verdict has settled, not when the crashes expire.
     pub fn held_for(&self, fingerprint: &RequestFingerprint, now: ClockTime) -> Option<TimeSpan> {
         let settled_at = *self.held.get(fingerprint)? + VERDICT_SETTLE_TIME;
-        let forgotten_at = self.records.get(fingerprint)?.ends().last()?.at + CRASH_RETENTION;
-        Some(if now < settled_at { settled_at - now } else { forgotten_at - now })
+        let expires_at = self.records.get(fingerprint)?.ends().last()?.at + CRASH_RETENTION;
+        Some(if now < settled_at { settled_at - now } else { expires_at - now })
     }
 
     /// Returns the quarantined requests.
@@ -212,7 +212,7 @@
     /// Returns the updates for the next report to the collector.
     pub fn next_told(&mut self, now: ClockTime) -> Vec<SuspectUpdate> {
         self.in_flight = self.unreported.iter().copied().take(MAX_PER_REPORT).collect();
-        self.notes(self.in_flight.iter(), now)
+        self.updates(self.in_flight.iter(), now)
     }
 
     /// Records that the collector acknowledged the last report.
@@ -231,7 +231,7 @@
 
     /// Returns the updates that all processes should have.
     pub fn shared(&self, now: ClockTime) -> Vec<SuspectUpdate> {
-        self.notes(self.shared.iter(), now)
+        self.updates(self.shared.iter(), now)
     }
 
     /// A hash by which two processes find out whether their shared records are equal.
@@ -239,15 +239,15 @@
         self.shared_hash
     }
 
-    fn notes<'a>(
+    fn updates<'a>(
         &self,
-        prints: impl Iterator<Item = &'a RequestFingerprint>,
+        fingerprints: impl Iterator<Item = &'a RequestFingerprint>,
         now: ClockTime,
     ) -> Vec<SuspectUpdate> {
-        let note = |fingerprint: &RequestFingerprint| {
+        let update = |fingerprint: &RequestFingerprint| {
             Some(SuspectUpdate::of(*fingerprint, self.records.get(fingerprint)?, now))
         };
-        prints.filter_map(note).collect()
+        fingerprints.filter_map(update).collect()
     }
 }
 
@@ -259,11 +259,12 @@
 }
 
 fn hash_record(state: u64, fingerprint: RequestFingerprint, record: &SuspectRecord) -> u64 {
-    let mut lives: Vec<&EndpointIncarnation> = record.ends().iter().map(|end| &end.life).collect();
-    lives.sort_unstable();
-    let state = stable_hash(state, &fingerprint.spread().to_le_bytes());
+    let mut incarnations: Vec<&EndpointIncarnation> =
+        record.ends().iter().map(|end| &end.life).collect();
+    incarnations.sort_unstable();
+    let state = stable_hash(state, &fingerprint.low_bits().to_le_bytes());
     let state = stable_hash(state, &[u8::from(record.answered_at().is_some())]);
-    lives.into_iter().fold(state, |state, life| {
+    incarnations.into_iter().fold(state, |state, life| {
         stable_hash(stable_hash(state, life.instance.as_str().as_bytes()), &life.life.to_le_bytes())
     })
 }
--- a/tests/all/ending.rs
+++ b/tests/all/ending.rs
@@ -17,16 +17,16 @@
 /// Callers with harmless requests, each of which sends one request after the other.
 const HONEST_CALLERS: usize = 12;
 /// Time after the third crash within which all connected processes must know of the request.
-const CONTACT: Duration = Duration::from_millis(3000);
+const DETECTION_TIMEOUT: Duration = Duration::from_millis(3000);
 /// How often the request may reach an endpoint after that.
-const MOST_AFTER: usize = 3;
+const MAX_LATE_ARRIVALS: usize = 3;
 /// Pause between two requests of an honest caller, in virtual time.
 const HONEST_GAP: Duration = Duration::from_millis(10);
 /// Delay before a caller without an answer retries, in virtual time.
-const GAP: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Front processes with endpoints behind them and honest callers at work.
-struct EndingPlay {
+struct CrashSimulation {
     group: PlayGroup,
     fleet: Rc<CrashingFleet>,
     callers: Rc<HonestCallers>,
@@ -38,13 +38,13 @@
     /// Addresses of the processes; a restarted process has a new one.
     addresses: RefCell<Vec<SocketAddr>>,
     answered: Cell<u32>,
-    held: Cell<u32>,
+    quarantined: Cell<u32>,
 }
 
 impl HonestCallers {
     fn note(&self, came: &Came) {
-        let count = if is_held(came) { &self.held } else { &self.answered };
-        count.set(count.get() + u32::from(is_held(came) || came.status() == "200"));
+        let count = if is_quarantined(came) { &self.quarantined } else { &self.answered };
+        count.set(count.get() + u32::from(is_quarantined(came) || came.status() == "200"));
     }
 
     /// Sends requests with `bodies(0)`, `bodies(1)`, ..., each to the next process.
@@ -62,23 +62,23 @@
 }
 
 /// Whether a process refused the request as quarantined.
-fn is_held(came: &Came) -> bool {
+fn is_quarantined(came: &Came) -> bool {
     came.has(&format!("\"code\":{}", ResultCode::RequestHeld.number()))
 }
 
-impl EndingPlay {
+impl CrashSimulation {
     async fn start() -> Self {
         let group = PlayGroup::start(PROCESSES).await;
         group.remove_first_endpoints();
         let fleet = CrashingFleet::start(group.registry(), ENDPOINTS).await;
         group.until_listed(ENDPOINTS).await;
-        let play = EndingPlay { group, fleet, callers: Rc::default() };
-        play.note_addresses();
+        let simulation = CrashSimulation { group, fleet, callers: Rc::default() };
+        simulation.note_addresses();
         for caller in 0..HONEST_CALLERS {
             let body = move |number| format!("honest {caller} {number}");
-            tokio::task::spawn_local(play.callers.clone().ask_on(caller, body));
+            tokio::task::spawn_local(simulation.callers.clone().ask_on(caller, body));
         }
-        play
+        simulation
     }
 
     fn note_addresses(&self) {
@@ -91,7 +91,7 @@
         let mut came = Vec::new();
         for number in 0..times {
             came.push(self.ask_at(number % PROCESSES, path, body).await);
-            sleep(GAP).await;
+            sleep(RETRY_DELAY).await;
         }
         came
     }
@@ -110,16 +110,19 @@
 
     /// Asserts that `body` reached endpoints no more often than allowed during the whole test.
     fn assert_bounded(&self, body: &str) {
-        let third = self.fleet.end_under(body, 3).expect("three endpoints ended");
-        let after = self.fleet.arrivals_after(body, third + CONTACT);
-        let ended = self.fleet.ends.borrow().len();
-        assert!(after <= MOST_AFTER, "{after} arrivals too late, {ended} endpoints ended");
+        let third = self.fleet.crash_time(body, 3).expect("three endpoints crashed");
+        let after = self.fleet.arrivals_after(body, third + DETECTION_TIMEOUT);
+        let ended = self.fleet.crashes.borrow().len();
+        assert!(after <= MAX_LATE_ARRIVALS, "{after} arrivals too late, {ended} endpoints crashed");
     }
 
     /// Asserts that the honest callers were answered and none of them was refused as quarantined.
     fn assert_honest_unharmed(&self) {
-        let (answered, held) = (self.callers.answered.get(), self.callers.held.get());
-        assert!(answered > 100 && held == 0, "{answered} answered, {held} held back");
+        let (answered, quarantined) = (self.callers.answered.get(), self.callers.quarantined.get());
+        assert!(
+            answered > 100 && quarantined == 0,
+            "{answered} answered, {quarantined} quarantined"
+        );
     }
 }
 
@@ -130,14 +133,14 @@
     // process. With the id alone no process recognizes it, and an endpoint crashes every half
     // second. The processes must recognize it by its content and share what they saw.
     play(async {
-        let play = EndingPlay::start().await;
+        let simulation = CrashSimulation::start().await;
         let body = format!("{FATAL} 1");
 
-        let came = play.repeat("/once/f", &body, 24).await;
+        let came = simulation.repeat("/once/f", &body, 24).await;
 
-        play.assert_bounded(&body);
-        play.assert_honest_unharmed();
-        assert!(came.last().is_some_and(is_held), "{came:?}");
+        simulation.assert_bounded(&body);
+        simulation.assert_honest_unharmed();
+        assert!(came.last().is_some_and(is_quarantined), "{came:?}");
     });
 }
 
@@ -146,13 +149,13 @@
     // As above, on a route where a process itself fails over to another endpoint: each time the
     // caller asks, two endpoints crash within 50 ms.
     play(async {
-        let play = EndingPlay::start().await;
+        let simulation = CrashSimulation::start().await;
         let body = format!("{FATAL} 1");
 
-        play.repeat("/any/f", &body, 12).await;
+        simulation.repeat("/any/f", &body, 12).await;
 
-        play.assert_bounded(&body);
-        play.assert_honest_unharmed();
+        simulation.assert_bounded(&body);
+        simulation.assert_honest_unharmed();
     });
 }
 
@@ -161,17 +164,17 @@
     // The same request is sent to five processes at once, again and again. All copies run before
     // anything is known of the others, and up to five endpoints crash at the same time.
     play(async {
-        let play = EndingPlay::start().await;
+        let simulation = CrashSimulation::start().await;
         let body = format!("{FATAL} 1");
 
         for _ in 0..12 {
-            let copies = (0..PROCESSES).map(|process| play.ask_at(process, "/once/f", &body));
+            let copies = (0..PROCESSES).map(|process| simulation.ask_at(process, "/once/f", &body));
             join_all(copies).await;
-            sleep(GAP).await;
+            sleep(RETRY_DELAY).await;
         }
 
-        play.assert_bounded(&body);
-        play.assert_honest_unharmed();
+        simulation.assert_bounded(&body);
+        simulation.assert_honest_unharmed();
     });
 }
 
@@ -180,16 +183,16 @@
     // The collector is killed after two endpoints crashed under a request. The next collector must
     // continue from what each process was told rather than start over.
     play(async {
-        let mut play = EndingPlay::start().await;
+        let mut simulation = CrashSimulation::start().await;
         let body = format!("{FATAL} 1");
-        play.repeat("/once/f", &body, 2).await;
-        let collector = play.group.collector();
+        simulation.repeat("/once/f", &body, 2).await;
+        let collector = simulation.group.collector();
 
-        play.kill(&[collector]).await;
-        play.repeat("/once/f", &body, 16).await;
+        simulation.kill(&[collector]).await;
+        simulation.repeat("/once/f", &body, 16).await;
 
-        play.assert_bounded(&body);
-        play.assert_honest_unharmed();
+        simulation.assert_bounded(&body);
+        simulation.assert_honest_unharmed();
     });
 }
 
@@ -199,18 +202,18 @@
     // the caller retries as soon as one is back: without a record in the store, three more
     // endpoints crash, and the arrivals until the processes know again exceed the bound.
     play(async {
-        let mut play = EndingPlay::start().await;
+        let mut simulation = CrashSimulation::start().await;
         let body = format!("{FATAL} 1");
-        play.repeat("/once/f", &body, 8).await;
+        simulation.repeat("/once/f", &body, 8).await;
 
         for _ in 0..2 {
-            play.kill(&[0, 1, 2, 3, 4]).await;
-            sleep(CONTACT).await;
-            play.repeat("/once/f", &body, 8).await;
+            simulation.kill(&[0, 1, 2, 3, 4]).await;
+            sleep(DETECTION_TIMEOUT).await;
+            simulation.repeat("/once/f", &body, 8).await;
         }
 
-        play.assert_bounded(&body);
-        play.assert_honest_unharmed();
+        simulation.assert_bounded(&body);
+        simulation.assert_honest_unharmed();
     });
 }
 
@@ -219,18 +222,18 @@
     // Two endpoints have crashed under a request when all processes are killed, repeatedly: the
     // third crash must still be counted together with the first two.
     play(async {
-        let mut play = EndingPlay::start().await;
+        let mut simulation = CrashSimulation::start().await;
         let body = format!("{FATAL} 1");
 
         for _ in 0..5 {
-            play.repeat("/once/f", &body, 2).await;
+            simulation.repeat("/once/f", &body, 2).await;
             sleep(Duration::from_secs(1)).await;
-            play.kill(&[0, 1, 2, 3, 4]).await;
-            sleep(CONTACT).await;
+            simulation.kill(&[0, 1, 2, 3, 4]).await;
+            sleep(DETECTION_TIMEOUT).await;
         }
 
-        play.assert_bounded(&body);
-        play.assert_honest_unharmed();
+        simulation.assert_bounded(&body);
+        simulation.assert_honest_unharmed();
     });
 }
 
@@ -240,18 +243,18 @@
     // times, while the request runs at most of them. It was answered before and is answered again,
     // so it is not the cause.
     play(async {
-        let play = EndingPlay::start().await;
+        let simulation = CrashSimulation::start().await;
         for caller in 0..HONEST_CALLERS {
             let same = |_| "one key".to_owned();
-            tokio::task::spawn_local(play.callers.clone().ask_on(caller, same));
+            tokio::task::spawn_local(simulation.callers.clone().ask_on(caller, same));
         }
 
         for _ in 0..4 {
             sleep(Duration::from_secs(2)).await;
-            play.fleet.end_all();
+            simulation.fleet.crash_all();
             sleep(Duration::from_secs(5)).await;
         }
 
-        play.assert_honest_unharmed();
+        simulation.assert_honest_unharmed();
     });
 }
--- a/tests/all/evidence.rs
+++ b/tests/all/evidence.rs
@@ -296,7 +296,7 @@
             let slowness = f32::from(came) * u.int_in_range(-4..=4_i8)? as f32;
             book.note(at, EvidenceTally { came, failed, slowness }, now);
         }
-        let known = |at| ServiceEvidence { endpoint: at, sum: book.sum(&at, now), before: None };
+        let known = |at| ServiceEvidence { endpoint: at, sum: book.sum(&at, now), previous: None };
         let known: Vec<_> = (0..count).map(known).collect();
 
         let aside = judge_service(&known);
--- a/tests/all/mortal.rs
+++ b/tests/all/mortal.rs
@@ -19,9 +19,9 @@
 /// How long any other request runs.
 const RUN_TIME: Duration = Duration::from_millis(300);
 /// Time until the registry entry of a crashed endpoint expires.
-const LAPSE_TIME: Duration = Duration::from_millis(2200);
+const EXPIRY_TIME: Duration = Duration::from_millis(2200);
 /// Time until a replacement starts.
-const RETURN_TIME: Duration = Duration::from_millis(3000);
+const RESTART_TIME: Duration = Duration::from_millis(3000);
 
 /// A request as an endpoint received it.
 #[derive(Clone, Debug)]
@@ -33,14 +33,14 @@
 /// The endpoints of one service.
 pub struct CrashingFleet {
     registry: EndpointRegistry,
-    begun: Cell<u32>,
-    living: RefCell<Vec<Rc<Life>>>,
+    started: Cell<u32>,
+    live: RefCell<Vec<Rc<Incarnation>>>,
     pub arrivals: RefCell<Vec<Arrival>>,
     /// When each endpoint crashed, and which requests it was running.
-    pub ends: RefCell<Vec<(Instant, Vec<String>)>>,
+    pub crashes: RefCell<Vec<(Instant, Vec<String>)>>,
 }
 
-struct Life {
+struct Incarnation {
     name: String,
     fleet: Rc<CrashingFleet>,
     tasks: RefCell<Vec<JoinHandle<()>>>,
@@ -52,43 +52,43 @@
     pub async fn start(registry: EndpointRegistry, count: usize) -> Rc<Self> {
         let fleet = Rc::new(CrashingFleet {
             registry,
-            begun: Cell::new(0),
-            living: RefCell::default(),
+            started: Cell::new(0),
+            live: RefCell::default(),
             arrivals: RefCell::default(),
-            ends: RefCell::default(),
+            crashes: RefCell::default(),
         });
         for _ in 0..count {
-            fleet.begin_life().await;
+            fleet.start_incarnation().await;
         }
         fleet
     }
 
-    async fn begin_life(self: &Rc<Self>) {
+    async fn start_incarnation(self: &Rc<Self>) {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let number = self.begun.replace(self.begun.get() + 1);
-        let life = Rc::new(Life {
+        let number = self.started.replace(self.started.get() + 1);
+        let incarnation = Rc::new(Incarnation {
             name: format!("m-{number}"),
             fleet: self.clone(),
             tasks: RefCell::default(),
             running: RefCell::default(),
         });
-        self.registry.put(&life.name, entry_at(address));
-        let accepting = accept(life.clone(), listener);
-        life.tasks.borrow_mut().push(tokio::task::spawn_local(accepting));
-        self.living.borrow_mut().push(life);
+        self.registry.put(&incarnation.name, entry_at(address));
+        let accepting = accept(incarnation.clone(), listener);
+        incarnation.tasks.borrow_mut().push(tokio::task::spawn_local(accepting));
+        self.live.borrow_mut().push(incarnation);
     }
 
     /// Crashes all endpoints at once, as a loss of power does.
-    pub fn end_all(&self) {
-        let living = self.living.borrow().clone();
-        living.iter().for_each(end);
+    pub fn crash_all(&self) {
+        let live = self.live.borrow().clone();
+        live.iter().for_each(crash);
     }
 
     /// When the `count`-th endpoint crashed while it ran `body`.
-    pub fn end_under(&self, body: &str, count: usize) -> Option<Instant> {
-        let ends = self.ends.borrow();
-        let under = ends.iter().filter(|(_, running)| running.iter().any(|other| other == body));
+    pub fn crash_time(&self, body: &str, count: usize) -> Option<Instant> {
+        let crashes = self.crashes.borrow();
+        let under = crashes.iter().filter(|(_, running)| running.iter().any(|other| other == body));
         under.map(|(at, _)| *at).nth(count - 1)
     }
 
@@ -105,27 +105,27 @@
     )
 }
 
-async fn accept(life: Rc<Life>, listener: TcpListener) {
+async fn accept(incarnation: Rc<Incarnation>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
-        let serving = tokio::task::spawn_local(serve(life.clone(), stream));
-        life.tasks.borrow_mut().push(serving);
+        let serving = tokio::task::spawn_local(serve(incarnation.clone(), stream));
+        incarnation.tasks.borrow_mut().push(serving);
     }
 }
 
-async fn serve(life: Rc<Life>, mut stream: TcpStream) {
+async fn serve(incarnation: Rc<Incarnation>, mut stream: TcpStream) {
     let mut buffer = BytesMut::new();
     while let Some(request) = read_request(&mut stream, &mut buffer).await {
         let id = request.header("x-oleandertack-request-id").unwrap_or_default().to_owned();
         let body = String::from_utf8_lossy(&request.body).into_owned();
         let arrival = Arrival { at: Instant::now(), body: body.clone() };
-        life.fleet.arrivals.borrow_mut().push(arrival);
-        life.running.borrow_mut().push(body.clone());
+        incarnation.fleet.arrivals.borrow_mut().push(arrival);
+        incarnation.running.borrow_mut().push(body.clone());
         if body.starts_with(FATAL) {
             sleep(FATAL_TIME).await;
-            return end(&life);
+            return crash(&incarnation);
         }
         sleep(RUN_TIME).await;
-        life.running.borrow_mut().retain(|other| *other != body);
+        incarnation.running.borrow_mut().retain(|other| *other != body);
         let answer = format!(
             "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {id}\r\n\
              X-Oleandertack-Response-Seal: seal\r\nContent-Length: 2\r\n\r\nok"
@@ -137,16 +137,16 @@
 }
 
 /// Crashes an endpoint: its port closes and all its connections break at once.
-fn end(life: &Rc<Life>) {
-    let running = life.running.take();
-    life.fleet.ends.borrow_mut().push((Instant::now(), running));
-    let (fleet, name) = (life.fleet.clone(), life.name.clone());
-    fleet.living.borrow_mut().retain(|other| other.name != name);
+fn crash(incarnation: &Rc<Incarnation>) {
+    let running = incarnation.running.take();
+    incarnation.fleet.crashes.borrow_mut().push((Instant::now(), running));
+    let (fleet, name) = (incarnation.fleet.clone(), incarnation.name.clone());
+    fleet.live.borrow_mut().retain(|other| other.name != name);
     tokio::task::spawn_local(async move {
-        sleep(LAPSE_TIME).await;
+        sleep(EXPIRY_TIME).await;
         fleet.registry.remove(&name);
-        sleep(RETURN_TIME - LAPSE_TIME).await;
-        fleet.begin_life().await;
+        sleep(RESTART_TIME - EXPIRY_TIME).await;
+        fleet.start_incarnation().await;
     });
-    life.tasks.take().iter().for_each(JoinHandle::abort);
+    incarnation.tasks.take().iter().for_each(JoinHandle::abort);
 }
--- a/tests/all/release.rs
+++ b/tests/all/release.rs
@@ -332,10 +332,12 @@
         now: ClockTime,
     ) {
         for ((tried, endpoint, route), tally) in std::mem::take(&mut one.outbox) {
-            let case = &mut collector.plan.case;
+            let comparison = &mut collector.plan.comparison;
             match tried {
-                true => case.record_trial(&route.into(), &format!("i-{endpoint}").into(), &tally),
-                false => case.record_serving(&route.into(), &tally, now),
+                true => {
+                    comparison.record_trial(&route.into(), &format!("i-{endpoint}").into(), &tally)
+                }
+                false => comparison.record_serving(&route.into(), &tally, now),
             }
         }
         let new = one.sent - one.told_sent;
@@ -361,7 +363,7 @@
         now: ClockTime,
     ) {
         let number = collector.plan.number();
-        let is_left = match collector.plan.stage() {
+        let is_former_idle = match collector.plan.stage() {
             ReleaseStage::Moving { full_at } => (0..self.processes).all(|at| {
                 let acked = collector.acked.get(&at);
                 acked.is_some_and(|(follows, heard, idle)| {
@@ -371,13 +373,13 @@
             _ => false,
         };
         let account = exposure_account(&service(), "v2");
-        let handed = collector.ledger.windows().find(|(name, _)| **name == account);
+        let granted = collector.ledger.windows().find(|(name, _)| **name == account);
         let facts = PlanInputs {
             sent: collector.sent,
             rate_per_s: collector.rate,
-            handed: handed.map_or(0.0, |(_, stand)| (stand.spent + stand.open) as f64),
+            granted: granted.map_or(0.0, |(_, stand)| (stand.spent + stand.open) as f64),
             trial_endpoints: self.endpoints,
-            is_left,
+            is_former_idle,
         };
         collector.plan.step(&facts, now);
         let ms = (now - START).0;
@@ -568,17 +570,22 @@
 fn grants_never_exceed_the_bound() {
     arbtest(|u| {
         let mut plan = ReleasePlan::begin(order(), (BOUNDS, None), None, START);
-        let (mut sent, mut handed) = (0.0_f64, 0.0_f64);
+        let (mut sent, mut granted) = (0.0_f64, 0.0_f64);
         for step in 0..120_u64 {
             let now = START + TimeSpan(step * 100);
             let rate = f64::from(u.int_in_range(0..=3000_u32)?);
             sent += rate / 10.0;
             // Everything that may be granted is granted.
-            handed = handed.max(plan.most(sent));
-            let facts =
-                PlanInputs { sent, rate_per_s: rate, handed, trial_endpoints: 4, is_left: false };
+            granted = granted.max(plan.most(sent));
+            let facts = PlanInputs {
+                sent,
+                rate_per_s: rate,
+                granted,
+                trial_endpoints: 4,
+                is_former_idle: false,
+            };
             plan.step(&facts, now);
-            assert!(handed <= SHARE * sent + SLACK || plan.stage() != ReleaseStage::Trying);
+            assert!(granted <= SHARE * sent + SLACK || plan.stage() != ReleaseStage::Trying);
         }
         Ok(())
     });
--- a/tests/all/rollout.rs
+++ b/tests/all/rollout.rs
@@ -151,7 +151,7 @@
     }
 
     /// Waits up to `seconds` for the order to reach a state; returns whether it does.
-    async fn stands(&self, state: &str, seconds: f64) -> bool {
+    async fn reaches_state(&self, state: &str, seconds: f64) -> bool {
         let until = Instant::now() + Duration::from_secs_f64(seconds);
         while Instant::now() < until {
             if self.group.release_status().contains(state) {
@@ -173,8 +173,8 @@
         rollout.group.order_release("v2", ORDER_S);
         let tried = VersionFleet::start(&rollout.group, "v2", Some(3)).await;
 
-        let runs = rollout.stands("running", 1.0).await;
-        let is_back = rollout.stands("rolled_back", ORDER_S).await;
+        let runs = rollout.reaches_state("running", 1.0).await;
+        let is_back = rollout.reaches_state("rolled_back", ORDER_S).await;
         let (came, failed) = (tried.came.get(), tried.failed.get());
         sleep(Duration::from_secs(2)).await;
 
@@ -196,7 +196,7 @@
         rollout.group.order_release("v2", ORDER_S);
         let tried = VersionFleet::start(&rollout.group, "v2", None).await;
 
-        let is_completed = rollout.stands("completed", ORDER_S + 1.0).await;
+        let is_completed = rollout.reaches_state("completed", ORDER_S + 1.0).await;
         let (running, came) = (rollout.former.running.get(), rollout.former.came.get());
         rollout.former.remove();
         sleep(Duration::from_secs(2)).await;
@@ -278,7 +278,7 @@
         sleep(Duration::from_secs(1)).await;
 
         rollout.group.order_release("v2", ORDER_S);
-        let is_completed = rollout.stands("completed", ORDER_S + 2.0).await;
+        let is_completed = rollout.reaches_state("completed", ORDER_S + 2.0).await;
         rollout.former.remove();
         sleep(Duration::from_secs(13)).await;
         let before = tried.came.get();
@@ -319,7 +319,7 @@
         let addresses = rollout.group.processes.iter().map(|process| process.address());
         *rollout.callers.addresses.borrow_mut() = addresses.collect();
 
-        let is_back = rollout.stands("rolled_back", 2.0 * ORDER_S).await;
+        let is_back = rollout.reaches_state("rolled_back", 2.0 * ORDER_S).await;
 
         let asked = f64::from(rollout.callers.asked.get() - before);
         let came = f64::from(tried.came.get());
--- a/tests/all/suspect.rs
+++ b/tests/all/suspect.rs
@@ -20,29 +20,29 @@
     RequestFingerprint::of(content(body))
 }
 
-fn life(number: usize) -> EndpointIncarnation {
+fn incarnation(number: usize) -> EndpointIncarnation {
     EndpointIncarnation { instance: format!("m-{number}").as_str().into(), life: 1 }
 }
 
 /// A crash of endpoint `number`, `ms` after the start.
 fn end(number: usize, ms: u64) -> EndpointCrash {
-    EndpointCrash { life: life(number), at: START + TimeSpan(ms), ran: TimeSpan(50) }
+    EndpointCrash { life: incarnation(number), at: START + TimeSpan(ms), ran: TimeSpan(50) }
 }
 
 /// A tracker in which one endpoint per second crashed while it ran the given requests.
-fn book(ends: &[&[&str]]) -> SuspectTracker {
-    let mut book = SuspectTracker::default();
+fn tracker(ends: &[&[&str]]) -> SuspectTracker {
+    let mut tracker = SuspectTracker::default();
     for (number, under) in ends.iter().enumerate() {
         under.iter().for_each(|body| {
-            book.record_crash(fingerprint(body), end(number, number as u64 * 1000))
+            tracker.record_crash(fingerprint(body), end(number, number as u64 * 1000))
         });
     }
-    book.settle(START + TimeSpan(ends.len() as u64 * 1000));
-    book
+    tracker.settle(START + TimeSpan(ends.len() as u64 * 1000));
+    tracker
 }
 
-fn held(book: &SuspectTracker) -> BTreeSet<RequestFingerprint> {
-    book.held().map(|(fingerprint, _)| fingerprint).collect()
+fn quarantined(tracker: &SuspectTracker) -> BTreeSet<RequestFingerprint> {
+    tracker.held().map(|(fingerprint, _)| fingerprint).collect()
 }
 
 fn fingerprints(bodies: &[&str]) -> BTreeSet<RequestFingerprint> {
@@ -70,8 +70,8 @@
 
 #[test]
 fn three_crashes_quarantine_a_request_and_two_do_not() {
-    assert_eq!(held(&book(&[&["f"], &["f"]])), fingerprints(&[]));
-    assert_eq!(held(&book(&[&["f"], &["f"], &["f"]])), fingerprints(&["f"]));
+    assert_eq!(quarantined(&tracker(&[&["f"], &["f"]])), fingerprints(&[]));
+    assert_eq!(quarantined(&tracker(&[&["f"], &["f"], &["f"]])), fingerprints(&["f"]));
 }
 
 #[test]
@@ -81,8 +81,8 @@
     // two of them.
     let ends: &[&[&str]] = &[&["f", "h"], &["f", "h"], &["f"], &["h"], &["f"]];
 
-    assert_eq!(held(&book(&ends[..4])), fingerprints(&[]));
-    assert_eq!(held(&book(ends)), fingerprints(&["f"]));
+    assert_eq!(quarantined(&tracker(&ends[..4])), fingerprints(&[]));
+    assert_eq!(quarantined(&tracker(ends)), fingerprints(&["f"]));
 }
 
 #[test]
@@ -93,16 +93,16 @@
     let parted: &[&[&str]] = &[&["f", "h"], &["f", "h"], &["f", "h"], &["f"]];
     let never: &[&[&str]] = &[&["f", "h"], &["f", "h"], &["f", "h"], &["f", "h"], &["f", "h"]];
 
-    assert_eq!(held(&book(together)), fingerprints(&[]));
-    assert_eq!(held(&book(parted)), fingerprints(&["f"]));
-    assert_eq!(held(&book(never)), fingerprints(&["f", "h"]));
+    assert_eq!(quarantined(&tracker(together)), fingerprints(&[]));
+    assert_eq!(quarantined(&tracker(parted)), fingerprints(&["f"]));
+    assert_eq!(quarantined(&tracker(never)), fingerprints(&["f", "h"]));
 }
 
 #[test]
 fn two_culprits_that_met_are_both_quarantined() {
     let ends: &[&[&str]] = &[&["f"], &["g"], &["f", "g"], &["f"], &["g"], &["f"], &["g"]];
 
-    assert_eq!(held(&book(ends)), fingerprints(&["f", "g"]));
+    assert_eq!(quarantined(&tracker(ends)), fingerprints(&["f", "g"]));
 }
 
 #[test]
@@ -110,15 +110,16 @@
     // A stream ran at three endpoints that another request crashed, and at one that lost power: it
     // has the most crashes and is quarantined. The other request returns, and its crashes explain
     // all three.
-    let mut book = book(&[&["f", "h"], &["f", "h"], &["f", "h"], &["h"]]);
-    let before = held(&book);
+    let mut tracker = tracker(&[&["f", "h"], &["f", "h"], &["f", "h"], &["h"]]);
+    let before = quarantined(&tracker);
 
-    (4..6)
-        .for_each(|number| book.record_crash(fingerprint("f"), end(number, number as u64 * 1000)));
-    let changes = book.settle(START + TimeSpan(6000));
+    (4..6).for_each(|number| {
+        tracker.record_crash(fingerprint("f"), end(number, number as u64 * 1000))
+    });
+    let changes = tracker.settle(START + TimeSpan(6000));
 
     assert_eq!(before, fingerprints(&["h"]));
-    assert_eq!(held(&book), fingerprints(&["f"]));
+    assert_eq!(quarantined(&tracker), fingerprints(&["f"]));
     assert!(changes.contains(&SuspectChange::Released(fingerprint("h"))));
 }
 
@@ -138,15 +139,15 @@
     together.settle(START + TimeSpan(1000));
     in_turn.settle(START + TimeSpan(1000));
 
-    assert_eq!(held(&together), fingerprints(&[]));
-    assert_eq!(held(&in_turn), fingerprints(&["f"]));
+    assert_eq!(quarantined(&together), fingerprints(&[]));
+    assert_eq!(quarantined(&in_turn), fingerprints(&["f"]));
 }
 
 #[test]
 fn an_answer_clears_a_request_at_all_processes() {
     // Endpoints crashed under a request that another process had answered a second before. Only
     // that process knows of the answer, and reports it when it receives the crashes.
-    let mut accused = book(&[&["h"], &["h"], &["h"]]);
+    let mut accused = tracker(&[&["h"], &["h"], &["h"]]);
     let mut other = SuspectTracker::default();
     let now = START + TimeSpan(3000);
     other.note_answer(fingerprint("h"), START - TimeSpan(1000));
@@ -156,55 +157,56 @@
     accused.merge(&other.next_told(now), now);
     accused.settle(now);
 
-    assert_eq!(held(&other), fingerprints(&[]));
-    assert_eq!(held(&accused), fingerprints(&[]));
+    assert_eq!(quarantined(&other), fingerprints(&[]));
+    assert_eq!(quarantined(&accused), fingerprints(&[]));
     assert_eq!(accused.shared_hash(), other.shared_hash());
 }
 
 #[test]
 fn an_answer_of_long_ago_does_not_clear_a_request() {
     // A new version of a model may fail on a request that the former version handled.
-    let mut book = SuspectTracker::default();
+    let mut tracker = SuspectTracker::default();
     let long_ago = START - EXONERATION_WINDOW - TimeSpan(1);
-    book.note_answer(fingerprint("f"), long_ago);
+    tracker.note_answer(fingerprint("f"), long_ago);
 
-    (0..3)
-        .for_each(|number| book.record_crash(fingerprint("f"), end(number, 1000 * number as u64)));
-    book.settle(START + TimeSpan(3000));
+    (0..3).for_each(|number| {
+        tracker.record_crash(fingerprint("f"), end(number, 1000 * number as u64))
+    });
+    tracker.settle(START + TimeSpan(3000));
 
-    assert_eq!(held(&book), fingerprints(&["f"]));
+    assert_eq!(quarantined(&tracker), fingerprints(&["f"]));
 }
 
 #[test]
 fn a_quarantine_ends_at_the_announced_time() {
     // While the verdict is new it may be withdrawn, so the caller is first asked to retry once it
     // has settled.
-    let mut book = book(&[&["f"], &["f"], &["f"]]);
+    let mut tracker = tracker(&[&["f"], &["f"], &["f"]]);
     let now = START + TimeSpan(3000);
 
-    let first = book.held_for(&fingerprint("f"), now).expect("it is held back");
+    let first = tracker.held_for(&fingerprint("f"), now).expect("it is quarantined");
     let settled_at = now + first;
-    let left = book.held_for(&fingerprint("f"), settled_at).expect("it is held back");
-    book.settle(settled_at + left);
+    let left = tracker.held_for(&fingerprint("f"), settled_at).expect("it is quarantined");
+    tracker.settle(settled_at + left);
 
     assert!(first <= TimeSpan(1000) && left <= CRASH_RETENTION);
-    assert_eq!(book.held_for(&fingerprint("f"), settled_at + left), None);
-    assert!(book.is_empty());
+    assert_eq!(tracker.held_for(&fingerprint("f"), settled_at + left), None);
+    assert!(tracker.is_empty());
 }
 
 #[test]
 fn records_are_bounded_and_those_with_most_crashes_are_kept() {
     const MANY: usize = 5000;
-    let mut book = book(&[&["f"], &["f"], &["f"]]);
+    let mut tracker = tracker(&[&["f"], &["f"], &["f"]]);
 
     for number in 0..MANY {
-        book.record_crash(fingerprint(&format!("h {number}")), end(10 + number, 4000));
+        tracker.record_crash(fingerprint(&format!("h {number}")), end(10 + number, 4000));
     }
-    let changes = book.settle(START + TimeSpan(5000));
+    let changes = tracker.settle(START + TimeSpan(5000));
 
-    assert!(book.len() < MANY / 2);
+    assert!(tracker.len() < MANY / 2);
     assert!(changes.len() > MANY / 2);
-    assert_eq!(held(&book), fingerprints(&["f"]));
+    assert_eq!(quarantined(&tracker), fingerprints(&["f"]));
 }
 
 #[test]
@@ -221,14 +223,14 @@
         at: at(broke),
     };
 
-    let early = watch.note_broken(fingerprint("f"), &life(0), times(0, 0, 40));
-    let other = watch.note_broken(fingerprint("h"), &life(1), times(0, 0, 40));
-    let beside = watch.note_broken(fingerprint("g"), &life(0), times(10, 0, 41));
-    let later = watch.note_broken(fingerprint("k"), &life(0), times(60, 0, 70));
-    let after_answer = watch.note_broken(fingerprint("k"), &life(1), times(60, 50, 70));
-    let under = watch.note_ended(&life(0), at(2200));
-    let late = watch.note_broken(fingerprint("m"), &life(0), times(20, 0, 2300));
-    let too_late = watch.note_ended(&life(1), at(9000));
+    let early = watch.note_broken(fingerprint("f"), &incarnation(0), times(0, 0, 40));
+    let other = watch.note_broken(fingerprint("h"), &incarnation(1), times(0, 0, 40));
+    let beside = watch.note_broken(fingerprint("g"), &incarnation(0), times(10, 0, 41));
+    let later = watch.note_broken(fingerprint("k"), &incarnation(0), times(60, 0, 70));
+    let after_answer = watch.note_broken(fingerprint("k"), &incarnation(1), times(60, 50, 70));
+    let under = watch.note_ended(&incarnation(0), at(2200));
+    let late = watch.note_broken(fingerprint("m"), &incarnation(0), times(20, 0, 2300));
+    let too_late = watch.note_ended(&incarnation(1), at(9000));
 
     assert_eq!([early, other, beside, after_answer], [CrashAttribution::Pending; 4]);
     assert_eq!((later, late), (CrashAttribution::Unrelated, CrashAttribution::Confirmed));
@@ -256,7 +258,7 @@
         for _ in 0..u.int_in_range(1..=12)? {
             // Each crash has one time, whichever process reports it.
             let end = |number: usize| CrashUpdate {
-                life: life(number),
+                life: incarnation(number),
                 age: TimeSpan(90_000 - number as u64 * 7000),
                 ran: TimeSpan(50),
             };
@@ -276,7 +278,7 @@
         one.settle(now);
         other.settle(now);
 
-        assert_eq!(held(&one), held(&other));
+        assert_eq!(quarantined(&one), quarantined(&other));
         assert_eq!(one.shared_hash(), other.shared_hash());
         Ok(())
     })
@@ -284,15 +286,15 @@
 }
 
 /// Simulates callers, processes, endpoints and the exchange between processes, without a network.
-struct FleetPlay {
+struct FleetSimulation {
     random: u64,
     now: ClockTime,
-    books: Vec<SuspectTracker>,
+    trackers: Vec<SuspectTracker>,
     collector: usize,
     endpoints: Vec<FleetEndpoint>,
     lives: usize,
     /// Crashes that the process which ran the request has not detected yet.
-    unseen: Vec<(ClockTime, usize, RequestFingerprint, EndpointCrash)>,
+    undetected: Vec<(ClockTime, usize, RequestFingerprint, EndpointCrash)>,
     sent: Vec<(RequestFingerprint, ClockTime)>,
     ended: Vec<(RequestFingerprint, ClockTime)>,
     /// Honest requests that some process refused to send.
@@ -325,17 +327,17 @@
 const FLEET_STEP: TimeSpan = TimeSpan(5);
 const REPORT_STEPS: u64 = 50;
 
-impl FleetPlay {
+impl FleetSimulation {
     fn new(seed: u64) -> Self {
         let endpoint = |life| FleetEndpoint { life, ..FleetEndpoint::default() };
-        FleetPlay {
+        FleetSimulation {
             random: seed,
             now: START,
-            books: (0..FLEET_PROCESSES).map(|_| SuspectTracker::default()).collect(),
+            trackers: (0..FLEET_PROCESSES).map(|_| SuspectTracker::default()).collect(),
             collector: 0,
             endpoints: (0..FLEET_ENDPOINTS).map(endpoint).collect(),
             lives: FLEET_ENDPOINTS,
-            unseen: Vec::new(),
+            undetected: Vec::new(),
             sent: Vec::new(),
             ended: Vec::new(),
             refused: BTreeSet::new(),
@@ -352,8 +354,8 @@
     /// Sends a request to a live endpoint; returns `false` if it is quarantined or no endpoint is
     /// live.
     fn send(&mut self, run: FleetRun) -> bool {
-        if self.books[run.process].held_for(&run.fingerprint, self.now).is_some() {
-            let left = self.books[run.process].held_for(&run.fingerprint, self.now);
+        if self.trackers[run.process].held_for(&run.fingerprint, self.now).is_some() {
+            let left = self.trackers[run.process].held_for(&run.fingerprint, self.now);
             match left {
                 // Callers wait for a third of their deadline, five seconds of fifteen.
                 Some(left) if left <= TimeSpan(5000) && !run.fatal => {
@@ -390,11 +392,16 @@
         for run in endpoint.runs {
             self.ended.push((run.fingerprint, self.now));
             let ran = self.now - run.began_at;
-            let end = EndpointCrash { life: life(endpoint.life), at: self.now, ran };
+            let end = EndpointCrash { life: incarnation(endpoint.life), at: self.now, ran };
             // Most crashes are detected by a probe of the port, the others by the endpoint list.
             let delay = if self.draw(10) == 0 { 2200 } else { 2 + self.draw(20) };
             if run.fatal || self.now - run.began_at <= TimeSpan(1000) {
-                self.unseen.push((self.now + TimeSpan(delay), run.process, run.fingerprint, end));
+                self.undetected.push((
+                    self.now + TimeSpan(delay),
+                    run.process,
+                    run.fingerprint,
+                    end,
+                ));
             }
             if !run.fatal && run.attempts_left > 0 {
                 self.send(FleetRun { attempts_left: run.attempts_left - 1, ..run });
@@ -415,19 +422,19 @@
             self.endpoints[at].runs = runs;
             for run in done.iter().filter(|run| !run.fatal) {
                 self.honest_done += 1;
-                self.books[run.process].note_answer(run.fingerprint, now);
+                self.trackers[run.process].note_answer(run.fingerprint, now);
             }
             if let Some(run) = done.iter().find(|run| run.fatal) {
                 self.endpoints[at].runs.push(*run);
                 self.end_endpoint(at);
             }
         }
-        let (seen, unseen): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.unseen).into_iter().partition(|(at, ..)| *at <= now);
-        self.unseen = unseen;
+        let (seen, undetected): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.undetected).into_iter().partition(|(at, ..)| *at <= now);
+        self.undetected = undetected;
         for (_, process, fingerprint, end) in seen {
-            self.books[process].record_crash(fingerprint, end);
-            self.books[process].settle(now);
+            self.trackers[process].record_crash(fingerprint, end);
+            self.trackers[process].settle(now);
         }
         self.report(step);
         let (due, again) =
@@ -444,15 +451,15 @@
             if !due || process == self.collector {
                 continue;
             }
-            self.books[process].settle(now);
-            let mut own = std::mem::take(&mut self.books[process]);
-            exchange(&mut own, &mut self.books[self.collector], now);
-            self.books[process] = own;
+            self.trackers[process].settle(now);
+            let mut own = std::mem::take(&mut self.trackers[process]);
+            exchange(&mut own, &mut self.trackers[self.collector], now);
+            self.trackers[process] = own;
         }
         if step > 0 && step.is_multiple_of(400) {
             // Another process becomes the collector.
             self.collector = self.draw(FLEET_PROCESSES as u64) as usize;
-            self.books.iter_mut().for_each(SuspectTracker::resend_all);
+            self.trackers.iter_mut().for_each(SuspectTracker::resend_all);
         }
     }
 
@@ -512,15 +519,15 @@
     let fatal = [fingerprint("f"), fingerprint("g")];
     let mut honest = 0;
     for seed in 0..SEEDS {
-        let mut play = FleetPlay::new(seed);
+        let mut simulation = FleetSimulation::new(seed);
 
-        play.run(&fatal);
+        simulation.run(&fatal);
 
         let late: Vec<_> =
-            fatal.iter().map(|fingerprint| play.sent_too_late(fingerprint)).collect();
+            fatal.iter().map(|fingerprint| simulation.sent_too_late(fingerprint)).collect();
         assert!(late.iter().all(|late| *late <= 3), "seed {seed}: {late:?} sent too late");
-        assert!(play.refused.is_empty(), "seed {seed}: {:?} refused", play.refused);
-        honest += play.honest_done;
+        assert!(simulation.refused.is_empty(), "seed {seed}: {:?} refused", simulation.refused);
+        honest += simulation.honest_done;
     }
     assert!(honest > 10_000, "{honest} honest requests were answered");
 }
