--- a/crates/front/src/releases.rs
+++ b/crates/front/src/releases.rs
@@ -134,7 +134,7 @@
 pub(crate) fn limit_of(node: &FrontNode, account: &AccountName) -> Option<PoolLimit> {
     let desk = node.releases.borrow();
     let running = desk.plan_of(account)?;
-    Some(exposure_limit(running.plan.most(running.sent())))
+    Some(exposure_limit(running.plan.max_granted(running.sent())))
 }
 
 /// The requests of versions under orders that this process should hold.
--- a/crates/judge/src/verdict.rs
+++ b/crates/judge/src/verdict.rs
@@ -6,27 +6,29 @@
 /// Answers that an endpoint must have to be judged. Those of a large service answer about ten
 /// requests a second.
 const MIN_ANSWERS: f64 = 6.0;
-/// The same for an endpoint that is set aside, which gets few requests.
+/// Answers that an endpoint that is set aside must have; it gets few requests.
 pub const MIN_ANSWERS_ASIDE: f64 = 1.5;
 /// Endpoints that a comparison needs: of two, neither is the median.
 const MIN_COMPARED_ENDPOINTS: usize = 3;
 /// By how much the failure rate of an outlier must exceed the median. An endpoint that fails less
 /// often costs its callers less than the loss of one endpoint does.
 const MIN_EXCESS_RATE: f64 = 0.3;
-/// The same in standard deviations of sampling noise: requests of a sound service fail too, up to
-/// one in seven, and with 63 endpoints compared five times a second one is soon unlucky.
+/// The excess failure rate of an outlier in standard deviations of sampling noise: requests of a
+/// sound service fail too, up to one in seven, and with 63 endpoints compared five times a second
+/// one is soon unlucky.
 const FAILURE_DEVIATIONS: f64 = 5.0;
 /// The least failure rate used for sampling noise, where hardly any request fails.
 const MIN_NOISE_RATE: f64 = 0.05;
 /// By how much slower than the median an outlier must be, in powers of two: twice as slow. Sound
 /// replicas of one service differ by up to a third.
 const MIN_SLOWDOWN_LOG2: f64 = 1.0;
-/// The same in median absolute deviations of the service's endpoints: where sound ones differ a
-/// lot, more is needed. Six of them are four standard deviations of a normal distribution.
+/// The excess slowness of an outlier in median absolute deviations of the service's endpoints:
+/// where sound ones differ a lot, more is needed. Six of them are four standard deviations of a
+/// normal distribution.
 const SLOWNESS_DEVIATIONS: f64 = 6.0;
-/// The same for sampling noise, divided by the square root of the number of answers: 4.5 standard
-/// deviations of one answer, whose slowness varies by about one. Without it, and with seven answers
-/// each, 10 sound engines of 68 were found slow within half a minute.
+/// The excess slowness that sampling noise explains, to be divided by the square root of the number
+/// of answers: 4.5 standard deviations of one answer, whose slowness varies by about one. Without
+/// it, and with seven answers each, 10 sound engines of 68 were found slow within half a minute.
 const SLOWNESS_NOISE: f64 = 4.5;
 /// Hysteresis: an endpoint that is set aside stays so until its excess falls below this fraction of
 /// the bound, so that its state does not change with each answer.
--- a/crates/release/src/comparison.rs
+++ b/crates/release/src/comparison.rs
@@ -24,8 +24,8 @@
 const OUTLIER_DIVISOR: usize = 4;
 /// The least by which the failure rate of a bad version exceeds the baseline.
 const MIN_EXCESS_RATE: f64 = 0.2;
-/// Added to that, as a fraction of the baseline: where half of the requests fail anyway, a small
-/// excess is chance.
+/// Increase of [`MIN_EXCESS_RATE`] as a fraction of the baseline: where half of the requests fail
+/// anyway, a small excess is chance.
 const EXCESS_FACTOR: f64 = 0.4;
 /// Upper bound of the baseline failure rate.
 const MAX_BASELINE_RATE: f64 = 0.5;
@@ -41,7 +41,7 @@
 /// Answers needed before a version can be found sound; a version that fails a fifth of them shows
 /// no failure in as many once in 200 times.
 const MIN_ANSWERS: f64 = 24.0;
-/// The same on each route that has at least [`MAIN_ROUTE_FRACTION`] of the answers.
+/// Answers needed on each route that has at least [`MAIN_ROUTE_FRACTION`] of all answers.
 const MIN_ANSWERS_PER_ROUTE: f64 = 8.0;
 const MAIN_ROUTE_FRACTION: f64 = 0.1;
 /// A version with a higher score is not found sound.
@@ -50,8 +50,8 @@
 const MAX_SOUND_BASELINE_RATE: f64 = 0.3;
 /// Failures from which on a version is also judged by its total failure rate since the order.
 const MIN_TOTAL_FAILURES: f64 = 30.0;
-/// Margin by which that total rate must exceed the baseline, in addition to this many standard
-/// deviations.
+/// Margin by which that total failure rate must exceed the baseline, in addition to
+/// [`TOTAL_DEVIATIONS`] standard deviations of sampling noise.
 const TOTAL_MARGIN: f64 = 0.08;
 const TOTAL_DEVIATIONS: f64 = 3.0;
 
--- a/crates/release/src/plan.rs
+++ b/crates/release/src/plan.rs
@@ -157,7 +157,7 @@
     }
 
     /// Returns how many requests may be granted to the version, of `sent` requests since the order.
-    pub fn most(&self, sent: f64) -> f64 {
+    pub fn max_granted(&self, sent: f64) -> f64 {
         match self.stage {
             ReleaseStage::Trying => self.bounds.trial_bound(sent),
             ReleaseStage::Moving { .. } => self.move_bound,
@@ -273,8 +273,8 @@
     }
 }
 
-/// Returns for how long all requests may go to a version that may get `most` more.
-fn full_time(most: f64, rate_per_s: f64) -> TimeSpan {
-    let seconds = most / (rate_per_s * RATE_MARGIN).max(1.0);
+/// Returns for how long all requests may go to a version that may get `requests` more of them.
+fn full_time(requests: f64, rate_per_s: f64) -> TimeSpan {
+    let seconds = requests / (rate_per_s * RATE_MARGIN).max(1.0);
     TimeSpan((seconds * 1000.0) as u64).min(MAX_FULL_TIME)
 }
--- a/tests/all/release.rs
+++ b/tests/all/release.rs
@@ -122,7 +122,7 @@
         let account = exposure_account(&service(), "v2");
         let bond = one.gate.bond(now);
         self.ledger.note_member(&one.id, bond, (TimeSpan(60_400), now));
-        let limit = exposure_limit(self.plan.most(self.sent));
+        let limit = exposure_limit(self.plan.max_granted(self.sent));
         let claim = one.gate.claim(&account, TRIAL_GRANTS, now);
         let spender = PoolSpender { instance: one.id.clone(), life: 1 };
         let known = (&limit, processes as u32);
@@ -576,7 +576,7 @@
             let rate = f64::from(u.int_in_range(0..=3000_u32)?);
             sent += rate / 10.0;
             // Everything that may be granted is granted.
-            granted = granted.max(plan.most(sent));
+            granted = granted.max(plan.max_granted(sent));
             let facts = PlanInputs {
                 sent,
                 rate_per_s: rate,
