--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::drive::{AttemptOutcome, CallRun};
 use crate::events::event;
-use crate::suspects::BrokenAttempt;
+use crate::suspects::FailedAttempt;
 use crate::work::{FirstWait, WorkGuard};
 use crate::{releases, stream, suspects, whole, words};
 use actix_http::{RequestHead, ResponseHead, Version};
@@ -94,8 +94,8 @@
         let at = self.node.clock.now();
         let ran = TimeSpan(sent_at.elapsed().as_millis() as u64);
         let times = BrokenTimes { sent_at: at - ran, lived_at, at };
-        let may_look = was_cut && takes_work.is_some();
-        let broken = BrokenAttempt { life, address, times, may_look };
+        let may_probe = was_cut && takes_work.is_some();
+        let broken = FailedAttempt { life, address, times, may_probe };
         suspects::note_broken(self.node, self.print, broken);
     }
 
@@ -300,7 +300,7 @@
             let head = timeout_at(limit, reading).await.map_err(late)?.ok_or_else(ended)??;
             let mark = self.node.dialect.read_answer(&head);
             let sent = slot.take().ok_or_else(spent)?;
-            words::hear(self.node, (key, &mark), (&self.call.id, asked_at));
+            words::apply_answer_mark(self.node, (key, &mark), (&self.call.id, asked_at));
             if mark.belongs_to(&self.call.id) {
                 return Ok((sent, head, mark));
             }
@@ -372,7 +372,7 @@
             LinkError::Cut(_) | LinkError::Malformed(_) => AnswerGrade::Bad,
         };
         self.note_failure(target, work, grade);
-        if suspects::is_closed(fault) && self.node.takes_work(target.key) {
+        if suspects::is_port_closed(fault) && self.node.takes_work(target.key) {
             suspects::note_ended(self.node, &target.life, "port closed");
         }
         event!(self.node, AttemptFault;
--- a/crates/front/src/evidence.rs
+++ b/crates/front/src/evidence.rs
@@ -1,4 +1,5 @@
-//! What this process sees of endpoints, until the collector has it.
+//! Collects what this process observes about endpoints until a report has delivered it to the
+//! collector.
 
 use crate::node::FrontNode;
 use compact_str::CompactString;
@@ -8,74 +9,75 @@
 use oleander_place::EndpointKey;
 use std::collections::HashMap;
 
-/// How long evidence that could not be told is kept. The collector takes what it is told for new: a process
-/// that comes back from a cut would tell of the failures of all that time, its own doing, at once. Three
-/// reports, which a change of the collector takes.
-const TOLD_WITHIN: TimeSpan = TimeSpan(1000);
+/// How long evidence that could not be delivered is kept. The collector treats reported evidence as
+/// recent, so a process that returns from a network partition would report all failures of that
+/// time at once, although the partition caused them. Three reports, which is how long a change of
+/// the collector takes.
+const MAX_UNCONFIRMED_AGE: TimeSpan = TimeSpan(1000);
 
-/// Names a request that waits for the first part of its answer.
+/// Identifies a request that waits for the first part of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct WaitTicket(u64);
+pub struct AnswerTicket(u64);
 
 #[derive(Clone, Debug)]
-struct WaitingAnswer {
+struct PendingAnswer {
     endpoint: EndpointKey,
     route: Option<CompactString>,
     due_at: ClockTime,
-    is_told: bool,
+    is_reported: bool,
 }
 
-/// What was seen of an endpoint by the requests of one route.
+/// Evidence about endpoints, by route.
 type RouteTallies = HashMap<(EndpointKey, CompactString), EvidenceTally>;
 
-/// What was seen of endpoints since the last report that was answered.
+/// Evidence about endpoints since the last report that was answered.
 #[derive(Debug, Default)]
-pub struct EvidenceOutbox {
+pub struct EvidenceBuffer {
     seen: HashMap<EndpointKey, EvidenceTally>,
-    /// In a report that is not answered yet; told again if it is lost.
+    /// Part of a report that is not answered yet; reported again if that one is lost.
     sent: HashMap<EndpointKey, EvidenceTally>,
-    /// The same by route, of services of which a roll-out is under way.
+    /// The same by route, for services with a roll-out under way.
     seen_by_route: RouteTallies,
     sent_by_route: RouteTallies,
     sent_since: ClockTime,
-    waiting: HashMap<WaitTicket, WaitingAnswer>,
+    waiting: HashMap<AnswerTicket, PendingAnswer>,
     tickets: u64,
 }
 
-impl EvidenceOutbox {
-    /// Notes a request that was sent; its answer is overdue from `due_at` on.
-    pub fn wait(&mut self, endpoint: EndpointKey, due_at: ClockTime) -> WaitTicket {
-        self.wait_on_route(endpoint, None, due_at)
+impl EvidenceBuffer {
+    /// Tracks a request that was sent; its answer is overdue from `due_at` on.
+    pub fn wait(&mut self, endpoint: EndpointKey, due_at: ClockTime) -> AnswerTicket {
+        self.track_on_route(endpoint, None, due_at)
     }
 
-    /// Notes a request of a route whose answers are compared by route.
-    pub fn wait_on_route(
+    /// Tracks a request whose answers are compared by route.
+    pub fn track_on_route(
         &mut self,
         endpoint: EndpointKey,
         route: Option<CompactString>,
         due_at: ClockTime,
-    ) -> WaitTicket {
+    ) -> AnswerTicket {
         self.tickets += 1;
-        let ticket = WaitTicket(self.tickets);
-        self.waiting.insert(ticket, WaitingAnswer { endpoint, route, due_at, is_told: false });
+        let ticket = AnswerTicket(self.tickets);
+        self.waiting.insert(ticket, PendingAnswer { endpoint, route, due_at, is_reported: false });
         ticket
     }
 
-    /// Notes how a request that waited came out; nothing if it does not speak for its endpoint. One that
-    /// was told as overdue counts no second time.
-    pub fn settle(&mut self, ticket: WaitTicket, sample: Option<AnswerSample>) {
+    /// Records the outcome of a tracked request; `None` if it says nothing about its endpoint. A
+    /// request that was already reported as overdue is not counted a second time.
+    pub fn settle(&mut self, ticket: AnswerTicket, sample: Option<AnswerSample>) {
         let Some(waited) = self.waiting.remove(&ticket) else { return };
-        if let Some(sample) = sample.filter(|_| !waited.is_told) {
+        if let Some(sample) = sample.filter(|_| !waited.is_reported) {
             self.note_on_route((waited.endpoint, waited.route), sample);
         }
     }
 
-    /// Notes what speaks for an endpoint besides.
+    /// Records a sample that belongs to no tracked request.
     pub fn note(&mut self, endpoint: EndpointKey, sample: AnswerSample) {
         self.note_on_route((endpoint, None), sample);
     }
 
-    /// The same of a request of a route whose answers are compared by route.
+    /// Records a sample of a request whose answers are compared by route.
     pub fn note_on_route(
         &mut self,
         (endpoint, route): (EndpointKey, Option<CompactString>),
@@ -87,17 +89,17 @@
         }
     }
 
-    /// What the next report tells.
+    /// The evidence for the next report, with requests that became overdue.
     pub fn next(&mut self, now: ClockTime) -> &HashMap<EndpointKey, EvidenceTally> {
-        let overdue = |waiting: &&mut WaitingAnswer| !waiting.is_told && now >= waiting.due_at;
+        let overdue = |waiting: &&mut PendingAnswer| !waiting.is_reported && now >= waiting.due_at;
         let overdue = self.waiting.values_mut().filter(overdue).map(|waiting| {
-            waiting.is_told = true;
+            waiting.is_reported = true;
             (waiting.endpoint, waiting.route.clone())
         });
         for of in overdue.collect::<Vec<_>>() {
             self.note_on_route(of, AnswerSample::Overdue);
         }
-        if now - self.sent_since > TOLD_WITHIN {
+        if now - self.sent_since > MAX_UNCONFIRMED_AGE {
             self.sent.clear();
             self.sent_by_route.clear();
         }
@@ -113,18 +115,19 @@
         &self.sent
     }
 
-    /// What the report that is made tells by route.
+    /// The evidence by route for the report that [`EvidenceBuffer::next`] started.
     fn next_by_route(&self) -> &RouteTallies {
         &self.sent_by_route
     }
 
-    /// Notes that a report was answered.
-    pub fn taken(&mut self) {
+    /// Drops what the last report carried, now that it was answered.
+    pub fn confirm_report(&mut self) {
         self.sent.clear();
         self.sent_by_route.clear();
     }
 
-    /// Forgets what was seen: this process was late itself, and what seemed slow may have waited here.
+    /// Discards all evidence: this process itself was delayed, and answers that seemed slow may
+    /// have waited here.
     pub fn withhold(&mut self) {
         self.seen.clear();
         self.sent.clear();
@@ -133,12 +136,12 @@
     }
 }
 
-/// What the next report tells of endpoints.
-pub fn own_evidence(node: &FrontNode) -> (Vec<EndpointEvidence>, Vec<RouteEvidence>) {
+/// The evidence about endpoints for the next report, in total and by route.
+pub fn report_evidence(node: &FrontNode) -> (Vec<EndpointEvidence>, Vec<RouteEvidence>) {
     let board = node.endpoints.borrow();
     let mut outbox = node.evidence.borrow_mut();
     let evidence = |key: &EndpointKey, tally: &EvidenceTally| {
-        // Of an endpoint that is gone nobody needs to hear.
+        // Nobody needs evidence about an endpoint that is no longer listed.
         let entry = &board.get(*key)?.entry;
         let (instance, life) = (entry.instance.clone(), LifeMark::of(entry.life));
         Some(EndpointEvidence { instance, life, tally: *tally })
--- a/crates/front/src/mesh/collect.rs
+++ b/crates/front/src/mesh/collect.rs
@@ -8,7 +8,7 @@
 use crate::node::FrontNode;
 use crate::roster;
 use crate::rules::take_rules;
-use crate::words::{self, ReporterStand};
+use crate::words::{self, ReporterState};
 use crate::{limits, releases, suspects};
 use oleander_call::RuleSet;
 use oleander_kind::{AccountName, ResultCode, TimeSpan};
@@ -87,8 +87,8 @@
     end_after_sleep(node);
     let now = node.clock.now();
     take_feeds(node, &report);
-    suspects::take_notes(node, &report.suspects);
-    words::take_told(node, &report.words, TimeSpan(0));
+    suspects::apply_notes(node, &report.suspects);
+    words::apply_peer_signals(node, &report.words, TimeSpan(0));
     let suspects = node.suspects.borrow();
     let known = node.rules.borrow();
     let rules = known.current();
@@ -138,12 +138,12 @@
         oldest_turn: settled_turn(true_now),
         now,
     };
-    let stand = ReporterStand::of(&report, facts.oldest_turn);
+    let stand = ReporterState::of(&report, facts.oldest_turn);
     let MeshState { view, collector, .. } = &mut *mesh;
     match collector {
         Some(collector) => {
             let mut digest = collector.take(report, view, &facts);
-            words::answer_words(node, (&stand, view), collector, &mut digest);
+            words::add_endpoint_signals(node, (&stand, view), collector, &mut digest);
             MeshBody::Digest(Box::new(digest))
         }
         None => MeshBody::Leaving(view.me().clone()),
--- a/crates/front/src/mesh/digest.rs
+++ b/crates/front/src/mesh/digest.rs
@@ -35,12 +35,12 @@
     take_loads(node, &digest.loads);
     take_verdicts(node, &digest.verdicts);
     if let Some(notes) = &digest.suspects {
-        suspects::take_notes(node, notes);
+        suspects::apply_notes(node, notes);
     }
     if let Some(said) = &digest.words {
-        words::take_all(node, said, trip);
+        words::apply_snapshot(node, said, trip);
     }
-    words::take_rates(node, digest.rates.as_deref(), claimed_at);
+    words::apply_rate_shares(node, digest.rates.as_deref(), claimed_at);
     take_allotments(node, digest.allotments, claimed_at);
     node.usage.borrow_mut().forget(digest.reported_window);
     let mut mesh = node.mesh.borrow_mut();
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -1,7 +1,7 @@
 //! What this process tells the collector.
 
 use super::state::MeshState;
-use crate::evidence::own_evidence;
+use crate::evidence::report_evidence;
 use crate::node::FrontNode;
 use crate::{releases, words};
 use oleander_kind::{AccountName, ClockTime, ServiceName, TimeSpan};
@@ -37,7 +37,7 @@
     let roster_update = mesh.wants_roster.as_ref().map(lacked);
     let mut suspects = node.suspects.borrow_mut();
     let rules_text = mesh.wants_rules.then(|| node.rules.borrow().text().cloned()).flatten();
-    let (evidence, route_evidence) = own_evidence(node);
+    let (evidence, route_evidence) = report_evidence(node);
     NodeReport {
         card: mesh.view.me().clone(),
         wall: node.clock.wall(),
@@ -55,8 +55,8 @@
         demand: own_demand(node),
         paces: own_paces(node),
         evidence,
-        words: words::next_told(node),
-        words_mark: words_mark(&words::known_words(node)),
+        words: words::next_reported(node),
+        words_mark: words_mark(&words::known_signals(node)),
         route_evidence,
         releases: node.releases.borrow().book.followed(),
         suspects: suspects.next_told(node.clock.now()),
--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -54,8 +54,8 @@
 async fn report_once(node: &Rc<FrontNode>, hub: &Addr<PeerHub<MeshBody>>) {
     note_fitness(node);
     releases::refresh(node);
-    suspects::settle(node);
-    words::take_own_parts(node);
+    suspects::refresh_holds(node);
+    words::apply_local_shares(node);
     // A process that begins goes by the collector that the others go by. Choosing for itself, from
     // what it knows then, half of the processes once stayed apart for a turn after they were killed.
     let undecided = node.mesh.borrow().view.chosen().is_none();
@@ -96,7 +96,7 @@
     let claimed_at = node.clock.lease_now();
     let report = make_report(node, LimitNews::Claims(None));
     if let MeshBody::Digest(digest) = collect(node, report) {
-        note_taken(node);
+        confirm_report(node);
         take_digest(node, *digest, (TimeSpan(0), claimed_at));
     }
 }
@@ -130,10 +130,10 @@
 }
 
 /// Notes that the collector has what the last report told.
-fn note_taken(node: &FrontNode) {
-    node.evidence.borrow_mut().taken();
+fn confirm_report(node: &FrontNode) {
+    node.evidence.borrow_mut().confirm_report();
     node.suspects.borrow_mut().note_taken();
-    words::note_taken(node);
+    words::confirm_report(node);
 }
 
 /// Ends the collecting of a process to which nobody reports any more. What it knows of the account
@@ -255,7 +255,7 @@
     let body = MeshBody::Report(Box::new(report));
     match call_peer(node, hub, (address, body), ANSWER_LIMIT).await {
         Some(MeshBody::Digest(digest)) => {
-            note_taken(node);
+            confirm_report(node);
             if digest.roster_update == RosterUpdate::InParts {
                 fetch_list(node, digest.from.address, digest.roster.mark());
             }
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -1,14 +1,14 @@
 //! One front process: what its parts share.
 
 use crate::events::{EventBudget, event};
-use crate::evidence::EvidenceOutbox;
+use crate::evidence::EvidenceBuffer;
 use crate::feed::FeedState;
 use crate::limits::SpendDiary;
 use crate::mesh::state::MeshState;
 use crate::meter::FrontMeter;
 use crate::port::PlatformDialect;
 use crate::releases::ReleaseDesk;
-use crate::words::WordOutbox;
+use crate::words::SignalOutbox;
 use actix::Addr;
 use oleander_board::{NodeClock, StopStage};
 use oleander_call::RuleSet;
@@ -104,13 +104,13 @@
     /// How often streams of this process paused for too long, by service.
     pub pauses: RefCell<HashMap<ServiceName, PauseRecord>>,
     /// What this process sees of endpoints, until the collector has it.
-    pub evidence: RefCell<EvidenceOutbox>,
+    pub evidence: RefCell<EvidenceBuffer>,
     /// Attempts of this process that broke, until their endpoints are known to have ended.
     pub ends: RefCell<EndWatch>,
     /// What endpoints said of themselves that the collector may not know.
-    pub words: RefCell<WordOutbox>,
+    pub signals: RefCell<SignalOutbox>,
     /// When this process last asked a collector that hands out rates of limited endpoints, by the clock of leases.
-    pub rates_at: Cell<ClockTime>,
+    pub rate_shares_at: Cell<ClockTime>,
     /// Requests under which endpoints ended.
     pub suspects: RefCell<SuspectBook>,
     /// What is known through the other processes.
@@ -184,8 +184,8 @@
             pauses: RefCell::default(),
             evidence: RefCell::default(),
             ends: RefCell::default(),
-            words: RefCell::default(),
-            rates_at: Cell::default(),
+            signals: RefCell::default(),
+            rate_shares_at: Cell::default(),
             suspects: RefCell::default(),
             mesh: RefCell::new(MeshState::new(me)),
             report_revisions: RefCell::default(),
--- a/crates/front/src/suspect_store.rs
+++ b/crates/front/src/suspect_store.rs
@@ -1,8 +1,8 @@
-//! Keeps the requests under which endpoints ended in the store, for processes that begin when none is left that
-//! knows.
+//! Persists the requests that crashed endpoints, for processes that start when no running process
+//! knows them.
 //!
-//! All processes may be killed at once. What they knew is gone then, and three more endpoints would end under
-//! each request that was held back.
+//! If all processes are killed at once their records are lost. Without the stored copy, each
+//! request that was quarantined would crash three more endpoints.
 
 use crate::duties::{collects, encode};
 use crate::events::event;
@@ -17,42 +17,42 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Between two looks whether something changed, and so between two writes: a sixth of the time in which processes
-/// must know, so that a wave of ends costs two calls a second.
+/// Interval between checks for changes, and so between writes: a sixth of the time within which
+/// processes must know, so that many endpoints ending at once cost two store calls a second.
 const LOOK_PERIOD: TimeSpan = TimeSpan(500);
-/// What the object says.
+/// The stored object.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct SuspectList {
-    requests: Vec<ListedRequest>,
+struct StoredSuspects {
+    requests: Vec<StoredRequest>,
 }
 
-/// A request under which endpoints ended.
+/// A request that crashed endpoints.
 #[derive(Debug, Serialize, Deserialize)]
-struct ListedRequest {
-    /// Its print, in hexadecimal digits.
+struct StoredRequest {
+    /// The fingerprint of the request, in hexadecimal digits.
     print: CompactString,
-    /// The ends.
-    ends: Vec<ListedEnd>,
+    /// The endpoints that ended while they ran it.
+    ends: Vec<StoredEnd>,
 }
 
-/// An end of an endpoint.
+/// One endpoint that ended.
 #[derive(Debug, Serialize, Deserialize)]
-struct ListedEnd {
+struct StoredEnd {
     life: EndedLife,
-    /// In true time, in Unix milliseconds.
+    /// Cluster time, in Unix milliseconds.
     at: ClockTime,
-    /// How long the request had run there, in milliseconds.
+    /// How long the request had been running there, in milliseconds.
     ran: TimeSpan,
 }
 
-/// Which endpoints ended under which requests.
-type ListedEnds = BTreeSet<(RequestPrint, EndedLife)>;
+/// Pairs of a request and an endpoint that ended under it.
+type StoredEnds = BTreeSet<(RequestPrint, EndedLife)>;
 
-/// Keeps the requests in the store while this process collects.
+/// Writes the requests to the store while this process is the collector.
 pub struct SuspectStore;
 
 impl KeptRecord for SuspectStore {
-    type Mark = ListedEnds;
+    type Mark = StoredEnds;
 
     const KIND: FeedKind = FeedKind::Suspects;
     const LOOK_PERIOD: TimeSpan = LOOK_PERIOD;
@@ -61,35 +61,35 @@
         collects(node)
     }
 
-    fn take(&mut self, node: &FrontNode, object: Option<&FeedObject>) -> ListedEnds {
-        object.map(|object| take_object(node, object)).unwrap_or_default()
+    fn take(&mut self, node: &FrontNode, object: Option<&FeedObject>) -> StoredEnds {
+        object.map(|object| load_object(node, object)).unwrap_or_default()
     }
 
-    fn current(&mut self, node: &FrontNode) -> Option<(Bytes, ListedEnds)> {
-        let (list, ends) = listed_now(node);
+    fn current(&mut self, node: &FrontNode) -> Option<(Bytes, StoredEnds)> {
+        let (list, ends) = current_suspects(node);
         Some((encode(node, &list)?, ends))
     }
 }
 
-fn take_object(node: &FrontNode, object: &FeedObject) -> ListedEnds {
+fn load_object(node: &FrontNode, object: &FeedObject) -> StoredEnds {
     let list = serde_json::from_slice(&object.body).unwrap_or_else(|fault| {
-        // Whoever wrote it, the next change replaces it.
+        // An unreadable object is replaced by the next write.
         event!(node, RecordFault;
             "record" => FeedKind::Suspects.name(), "fault" => fault.to_string());
-        SuspectList::default()
+        StoredSuspects::default()
     });
-    let notes = notes_of(&list, node.true_now());
-    suspects::take_notes(node, &notes);
-    let ends = |note: &SuspectNote| -> ListedEnds {
+    let notes = decode_notes(&list, node.true_now());
+    suspects::apply_notes(node, &notes);
+    let ends = |note: &SuspectNote| -> StoredEnds {
         note.ends.iter().map(|end| (note.print, end.life.clone())).collect()
     };
     notes.iter().flat_map(ends).collect()
 }
 
-fn notes_of(list: &SuspectList, true_now: ClockTime) -> Vec<SuspectNote> {
-    let note = |request: &ListedRequest| {
+fn decode_notes(list: &StoredSuspects, true_now: ClockTime) -> Vec<SuspectNote> {
+    let note = |request: &StoredRequest| {
         let print = RequestPrint::parse(&request.print)?;
-        let end = |end: &ListedEnd| EndNote {
+        let end = |end: &StoredEnd| EndNote {
             life: end.life.clone(),
             age: true_now - end.at,
             ran: end.ran,
@@ -100,21 +100,21 @@
     list.requests.iter().filter_map(note).collect()
 }
 
-fn listed_now(node: &FrontNode) -> (SuspectList, ListedEnds) {
+fn current_suspects(node: &FrontNode) -> (StoredSuspects, StoredEnds) {
     let (now, true_now) = (node.clock.now(), node.true_now());
     let notes = node.suspects.borrow().shared(now);
     let under = || notes.iter().filter(|note| !note.ends.is_empty());
-    let request = |note: &SuspectNote| ListedRequest {
+    let request = |note: &SuspectNote| StoredRequest {
         print: note.print.to_string().into(),
-        ends: note.ends.iter().map(|end| listed_end(end, true_now)).collect(),
+        ends: note.ends.iter().map(|end| stored_end(end, true_now)).collect(),
     };
-    let ends = |note: &SuspectNote| -> ListedEnds {
+    let ends = |note: &SuspectNote| -> StoredEnds {
         note.ends.iter().map(|end| (note.print, end.life.clone())).collect()
     };
-    let list = SuspectList { requests: under().map(request).collect() };
+    let list = StoredSuspects { requests: under().map(request).collect() };
     (list, under().flat_map(ends).collect())
 }
 
-fn listed_end(end: &EndNote, true_now: ClockTime) -> ListedEnd {
-    ListedEnd { life: end.life.clone(), at: true_now - end.age, ran: end.ran }
+fn stored_end(end: &EndNote, true_now: ClockTime) -> StoredEnd {
+    StoredEnd { life: end.life.clone(), at: true_now - end.age, ran: end.ran }
 }
--- a/crates/front/src/suspects.rs
+++ b/crates/front/src/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests under which endpoints end: notes what attempts show of them, and says which are held back.
+//! Tracks requests that crash endpoints: records what failed attempts show about their endpoints,
+//! and tells which requests are quarantined.
 
 use crate::attempt::{CONNECT_LIMIT, IDLE_KEPT, IDLE_MOST};
 use crate::events::event;
@@ -15,55 +16,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long it is watched whether a connection to an endpoint stays: ten crossings of failure domains and back.
-const LOOK_TIME: Duration = Duration::from_millis(30);
+/// How long a probe connection to an endpoint is observed before it counts as stable: ten round
+/// trips between failure domains.
+const PROBE_SETTLE_TIME: Duration = Duration::from_millis(30);
 
-/// The life of an endpoint as its entry says.
+/// Identifies the incarnation of an endpoint that `entry` describes.
 pub fn life_of(entry: &EndpointEntry) -> EndedLife {
     EndedLife { instance: entry.instance.clone(), life: entry.life }
 }
 
-/// For how much longer a request is held back; none if it is not.
+/// How much longer a request is quarantined; `None` if it is not.
 pub fn held_for(node: &FrontNode, print: &RequestPrint) -> Option<TimeSpan> {
     node.suspects.borrow().held_for(print, node.clock.now())
 }
 
-/// Takes what another process tells.
-pub fn take_notes(node: &FrontNode, notes: &[SuspectNote]) {
+/// Applies notes from another process.
+pub fn apply_notes(node: &FrontNode, notes: &[SuspectNote]) {
     if notes.is_empty() {
         return;
     }
     node.suspects.borrow_mut().take(notes, node.clock.now());
-    settle(node);
+    refresh_holds(node);
 }
 
-/// Notes that a request was answered: an endpoint bore it.
+/// Notes that a request was answered, so it did not crash the endpoint.
 pub fn note_answer(node: &FrontNode, print: RequestPrint) {
     let was_held = held_for(node, &print).is_some();
     node.suspects.borrow_mut().note_answer(print, node.clock.now());
     if was_held {
-        settle(node);
+        refresh_holds(node);
     }
 }
 
-/// An attempt that broke.
-pub struct BrokenAttempt {
-    /// The life of the endpoint that it was sent to.
+/// An attempt that failed without a complete answer.
+pub struct FailedAttempt {
+    /// The incarnation of the endpoint that it was sent to.
     pub life: EndedLife,
-    /// Where that listens.
+    /// The address of the endpoint.
     pub address: SocketAddr,
-    /// When what happened to it.
+    /// When it was sent and when it failed.
     pub times: BrokenTimes,
-    /// Whether a connection to the endpoint may tell more: this one was cut, and the endpoint is on the list.
-    pub may_look: bool,
+    /// Whether a probe connection may tell more: the connection was cut, and the endpoint is still
+    /// listed.
+    pub may_probe: bool,
 }
 
-/// Notes that an attempt broke at an endpoint that did not say it leaves.
+/// Notes that an attempt failed at an endpoint that had not signalled that it leaves.
 ///
-/// Whether the endpoint ended, its list tells after some two seconds, in which the request comes again up to four
-/// times. A connection that it refuses tells at once; one that it accepts serves the next request.
-pub fn note_broken(node: &Rc<FrontNode>, print: RequestPrint, broken: BrokenAttempt) {
-    let BrokenAttempt { life, address, times, may_look } = broken;
+/// The endpoint list shows only after some two seconds whether the endpoint ended, and in that time
+/// the request may be retried up to four times. A refused probe connection shows it at once; an
+/// accepted one is kept for the next request.
+pub fn note_broken(node: &Rc<FrontNode>, print: RequestPrint, broken: FailedAttempt) {
+    let FailedAttempt { life, address, times, may_probe } = broken;
     let now = times.at;
     let mark = node.ends.borrow_mut().note_broken(print, &life, times);
     match mark {
@@ -71,25 +75,25 @@
             node.suspects
                 .borrow_mut()
                 .note_end(print, RequestEnd { life, at: now, ran: now - times.sent_at });
-            settle(node);
+            refresh_holds(node);
         }
-        BrokenMark::Open if may_look && node.ends.borrow_mut().begin_look(&life, now) => {
-            actix_rt::spawn(look_for_end(node.clone(), life, address));
+        BrokenMark::Open if may_probe && node.ends.borrow_mut().begin_look(&life, now) => {
+            actix_rt::spawn(probe_for_exit(node.clone(), life, address));
         }
         BrokenMark::Open | BrokenMark::Late => {}
     }
 }
 
-async fn look_for_end(node: Rc<FrontNode>, life: EndedLife, address: SocketAddr) {
+async fn probe_for_exit(node: Rc<FrontNode>, life: EndedLife, address: SocketAddr) {
     let link = match IdleLink::open(address, CONNECT_LIMIT, SocketBounds::default()).await {
         Ok(link) => link,
-        Err(fault) if is_closed(&fault) => return note_ended(&node, &life, "port closed"),
-        // Whoever is silent may be cut off from here; the list tells.
+        Err(fault) if is_port_closed(&fault) => return note_ended(&node, &life, "port closed"),
+        // No answer may mean that this process is isolated; the endpoint list will tell.
         Err(_) => return,
     };
-    actix_rt::time::sleep(LOOK_TIME).await;
+    actix_rt::time::sleep(PROBE_SETTLE_TIME).await;
     if !link.is_quiet() {
-        // Something before the endpoint accepts connections in its place, and finds nobody there.
+        // A proxy in front of the endpoint accepted the connection and could not reach it.
         return note_ended(&node, &life, "connection closed");
     }
     let lives = node.endpoints.borrow().key(&life.instance).is_some();
@@ -98,12 +102,12 @@
     }
 }
 
-/// Whether nobody listens any more where an endpoint did.
-pub fn is_closed(fault: &LinkError) -> bool {
+/// Whether the connection was refused because nothing listens on the port any more.
+pub fn is_port_closed(fault: &LinkError) -> bool {
     matches!(fault, LinkError::Unreached(cause) if cause.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// Notes that a life of an endpoint ended which had not said that it leaves; `by` says how it showed.
+/// Notes that an endpoint ended without having signalled that it leaves; `by` names the evidence.
 pub fn note_ended(node: &FrontNode, life: &EndedLife, by: &'static str) {
     let now = node.clock.now();
     let under = node.ends.borrow_mut().note_ended(life, now);
@@ -115,16 +119,16 @@
     for (print, end) in under {
         node.suspects.borrow_mut().note_end(print, end);
     }
-    settle(node);
+    refresh_holds(node);
 }
 
-/// Forgets what is old, judges anew, and tells what changed.
-pub fn settle(node: &FrontNode) {
+/// Drops expired records, re-evaluates which requests are quarantined, and logs what changed.
+pub fn refresh_holds(node: &FrontNode) {
     let changes = node.suspects.borrow_mut().settle(node.clock.now());
-    changes.into_iter().for_each(|change| tell(node, change));
+    changes.into_iter().for_each(|change| log_change(node, change));
 }
 
-fn tell(node: &FrontNode, change: SuspectChange) {
+fn log_change(node: &FrontNode, change: SuspectChange) {
     let suspects = node.suspects.borrow();
     let now = node.clock.now();
     match change {
--- a/crates/front/src/window_store.rs
+++ b/crates/front/src/window_store.rs
@@ -1,8 +1,8 @@
-//! Keeps the windows of accounts in the store, for a ledger that begins when no process is left that was told of
+//! Persists the accounts' limit windows, for a ledger that starts when no running process knows
 //! them.
 //!
-//! Without it all accounts' windows would have to be taken for full after a kill of all processes, and accounts far
-//! below their limits would be refused for a whole window.
+//! Without the stored copy, all windows would have to be assumed full after a restart of all
+//! processes, and accounts far below their limits would be refused for a whole window.
 
 use crate::duties::encode;
 use crate::events::event;
@@ -19,34 +19,35 @@
 use std::collections::BTreeMap;
 use tokio::sync::Notify;
 
-/// Between two looks, and so between two writes: a sixth of the time for which what the store has is of use. A ledger
-/// that waits for the store ends the pause.
+/// Interval between checks for changes, and so between writes: a sixth of the time for which the
+/// stored windows are usable. A ledger that waits for the store ends the pause early.
 const LOOK_PERIOD: TimeSpan = TimeSpan(500);
-/// Reads without an answer before the windows are taken for full.
-const MOST_UNREAD: u32 = 3;
+/// Failed reads of the store before all windows are assumed full.
+const MAX_FAILED_READS: u32 = 3;
 
-/// What the object says.
+/// The stored object.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct WindowList {
-    /// When it was written, in true time, in Unix milliseconds.
+struct StoredWindows {
+    /// When it was written, in cluster time as Unix milliseconds.
     at: ClockTime,
-    /// Which ledger wrote it.
+    /// Identifies the ledger that wrote it.
     source: u64,
-    accounts: Vec<ListedWindow>,
+    accounts: Vec<StoredWindow>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct ListedWindow {
+struct StoredWindow {
     account: AccountName,
     window: ToldWindow,
 }
 
-/// Keeps the windows in the store while this process has the ledger, and begins a ledger by them.
+/// Writes the windows to the store while this process has the ledger, and starts a ledger from
+/// them.
 #[derive(Default)]
 pub struct WindowStore {
-    /// The promises in what is being written, and since when.
-    sent: Option<(BTreeMap<AccountName, f64>, ClockTime)>,
-    unread: u32,
+    /// The promises in the write under way, and when it started.
+    in_flight: Option<(BTreeMap<AccountName, f64>, ClockTime)>,
+    failed_reads: u32,
 }
 
 /// When the object was written; 0 while there is nothing to write.
@@ -68,15 +69,15 @@
     }
 
     fn must_read(&self, node: &FrontNode) -> bool {
-        waits_for_ledger(node, &node.mesh.borrow())
+        needs_ledger(node, &node.mesh.borrow())
     }
 
     fn take(&mut self, node: &FrontNode, object: Option<&FeedObject>) -> WindowMark {
-        self.unread = 0;
+        self.failed_reads = 0;
         let list = object.map(|object| read_list(node, object));
         let mut mesh = node.mesh.borrow_mut();
-        if waits_for_ledger(node, &mesh) {
-            let (past, by) = past_of(list.as_ref(), node.clock_true(&mesh));
+        if needs_ledger(node, &mesh) {
+            let (past, by) = ledger_past(list.as_ref(), node.clock_true(&mesh));
             begin_ledger_by(node, &mut mesh, past, by);
         }
         WindowMark(list.map_or(0, |list| list.at.0))
@@ -88,49 +89,49 @@
         let ledger = mesh.collector.as_ref().and_then(MeshCollector::ledger)?;
         let (windows, promises) = ledger.to_store(now);
         let at = if ledger.is_idle() { ClockTime(0) } else { node.clock_true(&mesh) };
-        let listed = |(account, window)| ListedWindow { account, window };
+        let listed = |(account, window)| StoredWindow { account, window };
         let accounts = windows.into_iter().map(listed).collect();
-        let list = WindowList { at, source: ledger.source(), accounts };
-        self.sent = Some((promises, now));
+        let list = StoredWindows { at, source: ledger.source(), accounts };
+        self.in_flight = Some((promises, now));
         Some((encode(node, &list)?, WindowMark(at.0)))
     }
 
     fn note_written(&mut self, node: &FrontNode) {
         let mut mesh = node.mesh.borrow_mut();
         let ledger = mesh.collector.as_mut().and_then(MeshCollector::ledger_mut);
-        if let (Some(ledger), Some((promises, sent_at))) = (ledger, self.sent.take()) {
+        if let (Some(ledger), Some((promises, sent_at))) = (ledger, self.in_flight.take()) {
             ledger.note_stored(promises, sent_at);
         }
     }
 
     fn note_unread(&mut self, node: &FrontNode) {
-        self.unread += 1;
+        self.failed_reads += 1;
         let mut mesh = node.mesh.borrow_mut();
-        if waits_for_ledger(node, &mesh) && self.unread >= MOST_UNREAD {
+        if needs_ledger(node, &mesh) && self.failed_reads >= MAX_FAILED_READS {
             let past = LedgerPast::Told { windows: Vec::new(), lasts: STORED_LASTS };
             begin_ledger_by(node, &mut mesh, past, "unread");
         }
     }
 }
 
-/// Whether a ledger is to begin here that nobody told of the windows.
-fn waits_for_ledger(node: &FrontNode, mesh: &MeshState) -> bool {
+/// Whether this process has to start a ledger and no other process has sent it the windows.
+fn needs_ledger(node: &FrontNode, mesh: &MeshState) -> bool {
     let lacks = mesh.collector.as_ref().is_some_and(|collector| collector.ledger().is_none());
     lacks && mesh.ended_ledger.is_none() && !mesh.is_succeeded(node.clock.now())
 }
 
-fn read_list(node: &FrontNode, object: &FeedObject) -> WindowList {
+fn read_list(node: &FrontNode, object: &FeedObject) -> StoredWindows {
     serde_json::from_slice(&object.body).unwrap_or_else(|fault| {
-        // Its windows are taken for full, and the next write replaces it.
+        // All windows are assumed full, and the next write replaces the unreadable object.
         event!(node, RecordFault;
             "record" => FeedKind::Windows.name(), "fault" => fault.to_string());
-        WindowList::default()
+        StoredWindows::default()
     })
 }
 
-fn past_of(list: Option<&WindowList>, true_now: ClockTime) -> (LedgerPast, &'static str) {
+fn ledger_past(list: Option<&StoredWindows>, true_now: ClockTime) -> (LedgerPast, &'static str) {
     let Some(list) = list else { return (LedgerPast::Nothing, "nothing") };
-    let known = |listed: &ListedWindow| {
+    let known = |listed: &StoredWindow| {
         let (told, age) = (listed.window.clone(), true_now - list.at);
         (listed.account.clone(), KnownWindow { told, age, source: list.source })
     };
--- a/crates/front/src/words.rs
+++ b/crates/front/src/words.rs
@@ -1,12 +1,18 @@
-//! Hears what endpoints say of themselves in their answers, and tells the other processes.
+//! Applies the signals that endpoints send in answer headers (a rate limit, that they leave, a
+//! backoff during which they want no requests) and shares them with the other processes through the
+//! collector.
 
 mod outbox;
 mod rates;
 mod tell;
 
-pub use outbox::WordOutbox;
-pub(crate) use rates::{ReporterStand, answer_words, take_own_parts, take_rates};
-pub(crate) use tell::{known_words, next_told, note_taken, take_all, take_told};
+pub use outbox::SignalOutbox;
+pub(crate) use rates::{
+    ReporterState, add_endpoint_signals, apply_local_shares, apply_rate_shares,
+};
+pub(crate) use tell::{
+    apply_peer_signals, apply_snapshot, confirm_report, known_signals, next_reported,
+};
 
 use crate::events::event;
 use crate::node::FrontNode;
@@ -17,29 +23,30 @@
 use oleander_place::{EndpointFact, EndpointKey, LimitWord};
 use oleander_suspect::EndedLife;
 
-/// From whom a word was heard.
+/// How this process learned of a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WordSource {
-    /// From the endpoint, in an answer to this process.
+pub(crate) enum SignalSource {
+    /// In a answer of the endpoint to this process.
     Answer,
-    /// From another process.
-    Told,
+    /// From another process, through the collector.
+    Peer,
 }
 
-impl WordSource {
+impl SignalSource {
     fn name(self) -> &'static str {
         match self {
-            WordSource::Answer => "answer",
-            WordSource::Told => "told",
+            SignalSource::Answer => "answer",
+            SignalSource::Peer => "told",
         }
     }
 }
 
-/// Takes what an answer of endpoint `key` to the `request` that was sent at `asked_at` says of the endpoint.
+/// Applies the signals in a answer of endpoint `key` to `request`, which was sent at `asked_at`.
 ///
-/// That it does not name a limit ends one only if it is the request's own answer, and the endpoint ran it: an answer to another
-/// one came late, and refusals and what a faulty endpoint sends may lack what its answers say.
-pub(crate) fn hear(
+/// A missing limit header ends a known limit only if the answer is that of the request itself and
+/// the endpoint ran it. A answer to another request arrived late, and refusals and answers of a
+/// faulty endpoint may lack headers that its regular answers carry.
+pub(crate) fn apply_answer_mark(
     node: &FrontNode,
     (key, mark): (EndpointKey, &AnswerMark),
     (request, asked_at): (&str, ClockTime),
@@ -47,33 +54,33 @@
     if mark.misdirected {
         return;
     }
-    hear_leaving(node, key, mark);
-    hear_rest(node, key, mark);
+    apply_leaving(node, key, mark);
+    apply_backoff(node, key, mark);
     let rate = match &mark.limit {
         SaidWord::Said(rate) => Some(*rate),
         SaidWord::Absent if !mark.not_run && mark.id.as_deref() == Some(request) => None,
         SaidWord::Absent => return,
-        SaidWord::Unreadable(text) => return tell_unreadable(node, key, ("limit", text)),
+        SaidWord::Unreadable(text) => return report_unreadable(node, key, ("limit", text)),
     };
-    hear_limit(node, key, (LimitWord { rate, asked_at }, WordSource::Answer));
+    apply_limit(node, key, (LimitWord { rate, asked_at }, SignalSource::Answer));
 }
 
-fn hear_leaving(node: &FrontNode, key: EndpointKey, mark: &AnswerMark) {
+fn apply_leaving(node: &FrontNode, key: EndpointKey, mark: &AnswerMark) {
     match &mark.leaving {
         SaidWord::Said(true) => {}
         SaidWord::Said(false) | SaidWord::Absent => return,
-        SaidWord::Unreadable(text) => return tell_unreadable(node, key, ("leaving", text)),
+        SaidWord::Unreadable(text) => return report_unreadable(node, key, ("leaving", text)),
     }
     let life = node.endpoints.borrow().get(key).map(|fact| suspects::life_of(&fact.entry));
     if let Some(life) = life
-        && note_leaving(node, &life, WordSource::Answer)
+        && mark_leaving(node, &life, SignalSource::Answer)
     {
-        node.words.borrow_mut().add(key);
+        node.signals.borrow_mut().add(key);
     }
 }
 
-/// Notes that an endpoint leaves; says whether that is news.
-fn note_leaving(node: &FrontNode, life: &EndedLife, source: WordSource) -> bool {
+/// Marks an endpoint as leaving; returns whether that was not known yet.
+fn mark_leaving(node: &FrontNode, life: &EndedLife, source: SignalSource) -> bool {
     let mut board = node.endpoints.borrow_mut();
     if !board.note_leaving(&life.instance, life.life) {
         return false;
@@ -88,46 +95,46 @@
     true
 }
 
-fn hear_rest(node: &FrontNode, key: EndpointKey, mark: &AnswerMark) {
+fn apply_backoff(node: &FrontNode, key: EndpointKey, mark: &AnswerMark) {
     let rest = match &mark.rest {
         SaidWord::Said(rest) => *rest,
         SaidWord::Absent => return,
-        SaidWord::Unreadable(text) => return tell_unreadable(node, key, ("rest", text)),
+        SaidWord::Unreadable(text) => return report_unreadable(node, key, ("rest", text)),
     };
     let now = node.clock.lease_now();
     let mut board = node.endpoints.borrow_mut();
     let Some(fact) = board.get_mut(key) else { return };
     let rested = now < fact.said.rests_until;
     fact.said.rests_until = fact.said.rests_until.max(now + rest);
-    node.meter.count_word("rest", WordSource::Answer.name());
+    node.meter.count_word("rest", SignalSource::Answer.name());
     event!(node, EndpointRests;
         "endpoint" => fact.entry.instance.as_str(), "life" => fact.entry.life,
         "service" => fact.entry.service.as_str(), "for_ms" => rest.0,
         "left_ms" => (fact.said.rests_until - now).0, "rested" => rested);
 }
 
-/// Takes a limit, or that there is none.
-fn hear_limit(node: &FrontNode, key: EndpointKey, (word, source): (LimitWord, WordSource)) {
+/// Applies a limit, or its end if the rate is absent.
+fn apply_limit(node: &FrontNode, key: EndpointKey, (word, source): (LimitWord, SignalSource)) {
     let now = node.clock.lease_now();
     let own = word.rate.and_then(|rate| own_part(rate, node.process_count()));
     let mut board = node.endpoints.borrow_mut();
     let Some(before) = board.note_limit(key, word) else { return };
     if let Some(fact) = board.get_mut(key) {
-        // Until the first lease comes, with the next answer of the collector.
+        // Used until the collector's next digest brings the first lease.
         if let Some(per_s) = own.filter(|_| before.is_none()) {
             fact.said.bucket.renew(per_s, (now, now));
         }
-        tell_limit(node, fact, (before, source));
+        log_limit(node, fact, (before, source));
     }
-    if source == WordSource::Answer {
-        node.words.borrow_mut().add(key);
+    if source == SignalSource::Answer {
+        node.signals.borrow_mut().add(key);
     }
 }
 
-fn tell_limit(
+fn log_limit(
     node: &FrontNode,
     fact: &EndpointFact,
-    (before, source): (Option<RequestRate>, WordSource),
+    (before, source): (Option<RequestRate>, SignalSource),
 ) {
     let per_s = |rate: Option<RequestRate>| rate.map(RequestRate::per_s);
     let LimitWord { rate, asked_at } = fact.said.limit;
@@ -138,7 +145,7 @@
         "by" => source.name(), "age_ms" => (node.clock.now() - asked_at).0);
 }
 
-fn tell_unreadable(node: &FrontNode, key: EndpointKey, (word, text): (&'static str, &str)) {
+fn report_unreadable(node: &FrontNode, key: EndpointKey, (word, text): (&'static str, &str)) {
     let board = node.endpoints.borrow();
     let endpoint = board.get(key).map(|fact| fact.entry.instance.as_str());
     node.meter.count_word(word, "unreadable");
--- a/crates/front/src/words/outbox.rs
+++ b/crates/front/src/words/outbox.rs
@@ -1,45 +1,47 @@
-//! What the collector may not know yet of what endpoints said.
+//! Tracks the endpoint signals that the collector may not have received yet.
 
 use oleander_kind::RequestRate;
 use oleander_place::EndpointKey;
 use std::collections::HashSet;
 
-/// What an endpoint said last of what all processes are to know.
+/// The latest signals of an endpoint that all processes need to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SaidState {
-    /// Its limit.
+pub struct SignalState {
+    /// Its rate limit, if it has one.
     pub limit: Option<RequestRate>,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub leaves: bool,
 }
 
-/// Endpoints of which something is to be told, until a report that told it was answered.
+/// Endpoints whose signals have to be reported, kept until a report that carried them was answered.
 #[derive(Default)]
-pub struct WordOutbox {
-    untold: HashSet<EndpointKey>,
-    on_the_way: Vec<(EndpointKey, Option<SaidState>)>,
+pub struct SignalOutbox {
+    pending: HashSet<EndpointKey>,
+    in_flight: Vec<(EndpointKey, Option<SignalState>)>,
 }
 
-impl WordOutbox {
-    /// Notes that an endpoint said something.
+impl SignalOutbox {
+    /// Adds an endpoint whose signals changed.
     pub fn add(&mut self, key: EndpointKey) {
-        self.untold.insert(key);
+        self.pending.insert(key);
     }
 
-    /// The endpoints that the next report tells of; `said_of` gives what one said.
-    pub fn next_told(
+    /// Starts a report; returns the endpoints to include. `state_of` returns the current signals of
+    /// an endpoint.
+    pub fn next_reported(
         &mut self,
-        said_of: impl Fn(EndpointKey) -> Option<SaidState>,
+        state_of: impl Fn(EndpointKey) -> Option<SignalState>,
     ) -> Vec<EndpointKey> {
-        self.on_the_way = self.untold.iter().map(|key| (*key, said_of(*key))).collect();
-        self.on_the_way.iter().map(|(key, _)| *key).collect()
+        self.in_flight = self.pending.iter().map(|key| (*key, state_of(*key))).collect();
+        self.in_flight.iter().map(|(key, _)| *key).collect()
     }
 
-    /// Notes that the last report was answered. What was said since is told by the next one.
-    pub fn taken(&mut self, said_of: impl Fn(EndpointKey) -> Option<SaidState>) {
-        for (key, told) in std::mem::take(&mut self.on_the_way) {
-            if said_of(key) == told {
-                self.untold.remove(&key);
+    /// Removes what the last report carried, now that it was answered. Signals that changed since
+    /// then stay for the next one.
+    pub fn confirm_report(&mut self, state_of: impl Fn(EndpointKey) -> Option<SignalState>) {
+        for (key, told) in std::mem::take(&mut self.in_flight) {
+            if state_of(key) == told {
+                self.pending.remove(&key);
             }
         }
     }
--- a/crates/front/src/words/rates.rs
+++ b/crates/front/src/words/rates.rs
@@ -1,6 +1,7 @@
-//! The parts of what limited endpoints take: handed out while this process collects, and taken from the collector.
+//! Shares of the request rates of limited endpoints: leased out while this process is the
+//! collector, and received from the collector otherwise.
 
-use super::known_words;
+use super::known_signals;
 use crate::node::FrontNode;
 use oleander_kind::{ClockTime, InstanceId, RequestRate};
 use oleander_limit::pool::ALLOT_TIME;
@@ -11,34 +12,34 @@
 use oleander_place::EndpointFact;
 use std::collections::{BTreeSet, HashMap};
 
-/// Adds to the collector's answer what endpoints said, if the reporter knows other than that, and its parts of what limited
-/// ones take.
-pub(crate) fn answer_words(
+/// Adds endpoint signals to the collector's digest if the reporter's fingerprint of them differs,
+/// and the reporter's shares of the limited rates.
+pub(crate) fn add_endpoint_signals(
     node: &FrontNode,
-    (report, view): (&ReporterStand, &MeshView),
+    (report, view): (&ReporterState, &MeshView),
     collector: &mut MeshCollector,
     digest: &mut MeshDigest,
 ) {
-    let words = known_words(node);
+    let words = known_signals(node);
     if words_mark(&words) != report.words_mark {
         digest.words = Some(words);
     }
     if !report.is_late && collector.rates().hands_out(node.clock.now()) {
-        digest.rates = Some(rate_shares(node, (report, view.serving()), collector));
+        digest.rates = Some(lease_rate_shares(node, (report, view.serving()), collector));
     }
 }
 
-/// What an answer about words goes by.
-pub(crate) struct ReporterStand {
+/// What [`add_endpoint_signals`] needs to know of a report.
+pub(crate) struct ReporterState {
     id: InstanceId,
     words_mark: u64,
     is_late: bool,
 }
 
-impl ReporterStand {
-    /// That of a report; one of a turn before `oldest_turn` was sent long ago.
+impl ReporterState {
+    /// Reads it from a report. A report of a turn before `oldest_turn` was sent long ago.
     pub(crate) fn of(report: &NodeReport, oldest_turn: u64) -> Self {
-        ReporterStand {
+        ReporterState {
             id: report.card.id.clone(),
             words_mark: report.words_mark,
             is_late: report.turn < oldest_turn,
@@ -46,9 +47,9 @@
     }
 }
 
-fn rate_shares(
+fn lease_rate_shares(
     node: &FrontNode,
-    (report, serving): (&ReporterStand, u32),
+    (report, serving): (&ReporterState, u32),
     collector: &mut MeshCollector,
 ) -> Vec<RateShare> {
     let now = node.clock.now();
@@ -57,43 +58,53 @@
     let limited: Vec<_> = limited.filter(|(fact, _)| fact.takes_work()).collect();
     let key_of = |fact: &EndpointFact| RateKey::of(&fact.entry.instance, fact.entry.life);
     let keys: BTreeSet<RateKey> = limited.iter().map(|(fact, _)| key_of(fact)).collect();
-    let desk = collector.rates();
-    desk.keep(|key| keys.contains(&key));
-    let part = desk.part(serving, now);
+    let rate_leases = collector.rates();
+    rate_leases.keep(|key| keys.contains(&key));
+    let part = rate_leases.part(serving, now);
     let share = |(fact, rate): (&EndpointFact, RequestRate)| {
         let endpoint = RatedEndpoint { key: key_of(fact), service: &fact.entry.service, rate };
-        let per_s = desk.lease(&report.id, endpoint, (part, now))?;
+        let per_s = rate_leases.lease(&report.id, endpoint, (part, now))?;
         let endpoint = EndpointMark::of(&fact.entry.instance, fact.entry.life);
         Some(RateShare { endpoint, per_s: per_s as f32 })
     };
     limited.into_iter().filter_map(share).collect()
 }
 
-/// Takes this process's parts of what limited endpoints take; its report was made at `claimed_at`, by the clock of leases.
-pub(crate) fn take_rates(node: &FrontNode, rates: Option<&[RateShare]>, claimed_at: ClockTime) {
+/// Applies this process's shares of the limited rates. Its report was made at `claimed_at` by the
+/// lease clock.
+pub(crate) fn apply_rate_shares(
+    node: &FrontNode,
+    rates: Option<&[RateShare]>,
+    claimed_at: ClockTime,
+) {
     let Some(rates) = rates else { return };
-    node.rates_at.set(claimed_at);
+    node.rate_shares_at.set(claimed_at);
     let by_endpoint: HashMap<_, _> =
         rates.iter().map(|share| (share.endpoint, share.per_s)).collect();
     let part = |fact: &EndpointFact| {
         let mark = EndpointMark::of(&fact.entry.instance, fact.entry.life);
         by_endpoint.get(&mark).map(|per_s| f64::from(*per_s))
     };
-    renew_parts(node, part, claimed_at);
+    renew_buckets(node, part, claimed_at);
 }
 
-/// Goes by this process's own parts of high limits while no collector hands them out: with leases alone, callers of a service
-/// whose endpoints all named one would be refused for two seconds after each loss of the collector.
-pub(crate) fn take_own_parts(node: &FrontNode) {
+/// Uses this process's even share of high limits while no collector leases them out. With leases
+/// alone, callers of a service whose endpoints all set a limit would be refused for two seconds
+/// after each loss of the collector.
+pub(crate) fn apply_local_shares(node: &FrontNode) {
     let now = node.clock.lease_now();
-    if now - node.rates_at.get() < ALLOT_TIME {
+    if now - node.rate_shares_at.get() < ALLOT_TIME {
         return;
     }
     let processes = node.process_count();
-    renew_parts(node, |fact| own_part(fact.said.limit.rate?, processes), now);
+    renew_buckets(node, |fact| own_part(fact.said.limit.rate?, processes), now);
 }
 
-fn renew_parts(node: &FrontNode, part: impl Fn(&EndpointFact) -> Option<f64>, asked_at: ClockTime) {
+fn renew_buckets(
+    node: &FrontNode,
+    part: impl Fn(&EndpointFact) -> Option<f64>,
+    asked_at: ClockTime,
+) {
     let now = node.clock.lease_now();
     let mut board = node.endpoints.borrow_mut();
     let limited = board.speaking().filter(|(_, fact)| fact.said.limit.rate.is_some());
--- a/crates/front/src/words/tell.rs
+++ b/crates/front/src/words/tell.rs
@@ -1,10 +1,11 @@
-//! What processes tell one another of what endpoints said.
+//! Exchanges endpoint signals between processes.
 //!
-//! What this process heard goes to the collector with its reports, and from there to all. A word of which the collector
-//! has another, older, version is told again, so that nothing is lost at a change of the collector.
+//! Each process reports the signals it received to the collector, which sends them to all others.
+//! Signals of which the collector has another, older version are reported again, so that none is
+//! lost when the collector changes.
 
-use super::outbox::SaidState;
-use super::{WordSource, hear_limit, note_leaving};
+use super::outbox::SignalState;
+use super::{SignalSource, apply_limit, mark_leaving};
 use crate::node::FrontNode;
 use oleander_kind::{ClockTime, TimeSpan};
 use oleander_mesh::EndpointWords;
@@ -12,14 +13,14 @@
 use oleander_suspect::EndedLife;
 use std::collections::HashMap;
 
-/// What this process knows that endpoints said of themselves.
-pub(crate) fn known_words(node: &FrontNode) -> Vec<EndpointWords> {
+/// The endpoint signals known to this process.
+pub(crate) fn known_signals(node: &FrontNode) -> Vec<EndpointWords> {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
-    board.speaking().filter_map(|(_, fact)| words_of(fact, now)).collect()
+    board.speaking().filter_map(|(_, fact)| signals_of(fact, now)).collect()
 }
 
-fn words_of(fact: &EndpointFact, now: ClockTime) -> Option<EndpointWords> {
+fn signals_of(fact: &EndpointFact, now: ClockTime) -> Option<EndpointWords> {
     let LimitWord { rate, asked_at } = fact.said.limit;
     fact.said.is_shared().then(|| EndpointWords {
         instance: fact.entry.instance.clone(),
@@ -30,18 +31,18 @@
     })
 }
 
-/// What it said last, for comparison.
-fn said_of(fact: &EndpointFact) -> SaidState {
-    SaidState { limit: fact.said.limit.rate, leaves: fact.said.leaves }
+/// The latest signals of an endpoint, in a form that can be compared.
+fn state_of(fact: &EndpointFact) -> SignalState {
+    SignalState { limit: fact.said.limit.rate, leaves: fact.said.leaves }
 }
 
-/// Takes what another process tells, `late` after it was written at the most.
-pub(crate) fn take_told(node: &FrontNode, told: &[EndpointWords], late: TimeSpan) {
+/// Applies signals from another process, which were written at most `late` ago.
+pub(crate) fn apply_peer_signals(node: &FrontNode, told: &[EndpointWords], late: TimeSpan) {
     let now = node.clock.now();
     for words in told {
         if words.leaves {
             let life = EndedLife { instance: words.instance.clone(), life: words.life };
-            note_leaving(node, &life, WordSource::Told);
+            mark_leaving(node, &life, SignalSource::Peer);
         }
         let key = {
             let board = node.endpoints.borrow();
@@ -50,36 +51,36 @@
         };
         let word = LimitWord { rate: words.limit, asked_at: now - (words.age + late) };
         if let Some(key) = key {
-            hear_limit(node, key, (word, WordSource::Told));
+            apply_limit(node, key, (word, SignalSource::Peer));
         }
     }
 }
 
-/// Takes all that the collector knows, and notes what of it is out of date.
-pub(crate) fn take_all(node: &FrontNode, told: &[EndpointWords], late: TimeSpan) {
-    take_told(node, told, late);
-    let state = |words: &EndpointWords| SaidState { limit: words.limit, leaves: words.leaves };
+/// Applies the collector's full set of signals, and queues those for which it is out of date.
+pub(crate) fn apply_snapshot(node: &FrontNode, told: &[EndpointWords], late: TimeSpan) {
+    apply_peer_signals(node, told, late);
+    let state = |words: &EndpointWords| SignalState { limit: words.limit, leaves: words.leaves };
     let told: HashMap<_, _> =
         told.iter().map(|words| ((&words.instance, words.life), state(words))).collect();
     let board = node.endpoints.borrow();
-    let mut outbox = node.words.borrow_mut();
+    let mut outbox = node.signals.borrow_mut();
     for (key, fact) in board.speaking() {
-        if told.get(&(&fact.entry.instance, fact.entry.life)) != Some(&said_of(fact)) {
+        if told.get(&(&fact.entry.instance, fact.entry.life)) != Some(&state_of(fact)) {
             outbox.add(key);
         }
     }
 }
 
-/// What of it the next report tells.
-pub(crate) fn next_told(node: &FrontNode) -> Vec<EndpointWords> {
+/// The queued signals for the next report.
+pub(crate) fn next_reported(node: &FrontNode) -> Vec<EndpointWords> {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
-    let keys = node.words.borrow_mut().next_told(|key| board.get(key).map(said_of));
-    keys.into_iter().filter_map(|key| words_of(board.get(key)?, now)).collect()
+    let keys = node.signals.borrow_mut().next_reported(|key| board.get(key).map(state_of));
+    keys.into_iter().filter_map(|key| signals_of(board.get(key)?, now)).collect()
 }
 
 /// Notes that the last report was answered.
-pub(crate) fn note_taken(node: &FrontNode) {
+pub(crate) fn confirm_report(node: &FrontNode) {
     let board = node.endpoints.borrow();
-    node.words.borrow_mut().taken(|key| board.get(key).map(said_of));
+    node.signals.borrow_mut().confirm_report(|key| board.get(key).map(state_of));
 }
--- a/crates/front/src/work.rs
+++ b/crates/front/src/work.rs
@@ -1,6 +1,6 @@
 //! The work this process has at an endpoint, counted while it lasts.
 
-use crate::evidence::WaitTicket;
+use crate::evidence::AnswerTicket;
 use crate::node::FrontNode;
 use compact_str::CompactString;
 use oleander_judge::AnswerSample;
@@ -34,7 +34,7 @@
     wait: FirstWait,
     began_at: ClockTime,
     answered_at: Option<ClockTime>,
-    ticket: Option<WaitTicket>,
+    ticket: Option<AnswerTicket>,
     /// The route, if answers are compared by route.
     route: Option<CompactString>,
 }
@@ -49,7 +49,7 @@
     ) -> Self {
         let began_at = node.clock.now();
         let overdue_at = wait.overdue_at(began_at);
-        let ticket = node.evidence.borrow_mut().wait_on_route(key, route.clone(), overdue_at);
+        let ticket = node.evidence.borrow_mut().track_on_route(key, route.clone(), overdue_at);
         let ticket = Some(ticket);
         let node = node.clone();
         let answered_at = None;
--- a/tests/all/evidence.rs
+++ b/tests/all/evidence.rs
@@ -3,7 +3,7 @@
 use crate::mesh::{CollectorRig, NOW, TRUE_NOW, report, rig};
 use crate::place::entry_of;
 use arbtest::arbtest;
-use oleandertack::front::evidence::EvidenceOutbox;
+use oleandertack::front::evidence::EvidenceBuffer;
 use oleandertack::judge::{
     AnswerSample, BadTrait, EvidenceBook, EvidenceTally, ServiceEvidence, judge_service,
 };
@@ -231,7 +231,7 @@
 fn evidence_that_could_not_be_told_is_forgotten() {
     let mut board = EndpointBoard::default();
     let key = board.put(entry_of("i-0", "kopli"));
-    let mut outbox = EvidenceOutbox::default();
+    let mut outbox = EvidenceBuffer::default();
     let at = |ms| ClockTime(START + ms);
     outbox.next(at(0));
 
@@ -240,7 +240,7 @@
     assert_eq!(outbox.next(at(600)).get(&key).map(|tally| tally.failed), Some(1));
     outbox.note(key, AnswerSample::Failed);
     assert_eq!(outbox.next(at(1200)).get(&key).map(|tally| tally.failed), Some(1));
-    outbox.taken();
+    outbox.confirm_report();
     assert!(outbox.next(at(1300)).is_empty());
 }
 
@@ -250,13 +250,13 @@
 fn an_overdue_answer_counts_once() {
     let mut board = EndpointBoard::default();
     let key = board.put(entry_of("i-0", "kopli"));
-    let mut outbox = EvidenceOutbox::default();
+    let mut outbox = EvidenceBuffer::default();
     let at = |ms| ClockTime(START + ms);
     let ticket = outbox.wait(key, at(500));
 
     assert!(outbox.next(at(400)).is_empty());
     assert_eq!(outbox.next(at(600)).get(&key).map(|tally| tally.failed), Some(1));
-    outbox.taken();
+    outbox.confirm_report();
     outbox.settle(ticket, Some(AnswerSample::Failed));
     assert!(outbox.next(at(700)).is_empty());
 }
--- a/tests/all/speaking.rs
+++ b/tests/all/speaking.rs
@@ -1,4 +1,4 @@
-//! Endpoints that say something of themselves in their answers, for plays.
+//! Test endpoints that send signals (rate limit, leaving, backoff) in their answers.
 
 use crate::plays::EndpointRegistry;
 use crate::scripted::read_request;
@@ -12,86 +12,93 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
 
-/// The header by which callers of a play name the process that they ask.
-pub const WAY: &str = "x-way";
+/// The request header in which test callers name the process that they send to.
+pub const PROCESS_HEADER: &str = "x-way";
 /// How long a request runs.
 const RUN_TIME: Duration = Duration::from_millis(30);
-/// The operators count arrivals over this time.
-pub const COUNTED: Duration = Duration::from_secs(4);
-/// So long after an answer its process goes by it.
-const HEARD: Duration = Duration::from_millis(500);
+/// The window over which the operators count arrivals.
+pub const COUNT_WINDOW: Duration = Duration::from_secs(4);
+/// Time after a answer within which its process must apply the signal.
+const APPLY_TIME: Duration = Duration::from_millis(500);
 
-/// A request as it reached an endpoint.
+/// A request that reached an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct WayArrival {
+pub struct RequestArrival {
     pub at: Instant,
     pub process: usize,
 }
 
-/// One endpoint, and what it says.
-pub struct SpeakingEndpoint {
+/// One endpoint and the signals that it sends.
+pub struct SignalEndpoint {
     pub name: String,
-    /// Requests a second that it names as its limit.
+    /// The limit that it sends, in requests a second.
     pub limit: Cell<Option<f64>>,
-    /// Whether it says that it leaves.
+    /// Whether it signals that it leaves.
     pub leaves: Cell<bool>,
-    /// Seconds of rest for which it asks, turning all requests away.
+    /// Seconds of backoff that it asks for; it refuses all requests then.
     pub rest: Cell<Option<f64>>,
-    pub arrivals: RefCell<Vec<WayArrival>>,
-    /// When it first told a process its limit, by process.
-    told: RefCell<HashMap<usize, Instant>>,
-    /// When it first told a process that it leaves, by process.
-    told_leaving: RefCell<HashMap<usize, Instant>>,
-    /// Its refusals: when, to which process, and for how many seconds of rest it asked.
+    pub arrivals: RefCell<Vec<RequestArrival>>,
+    /// When it first sent its limit to each process.
+    limit_sent_at: RefCell<HashMap<usize, Instant>>,
+    /// When it first signalled to each process that it leaves.
+    leaving_sent_at: RefCell<HashMap<usize, Instant>>,
+    /// Its refusals: when, to which process, and the seconds of backoff that it asked for.
     refusals: RefCell<Vec<(Instant, usize, f64)>>,
 }
 
-impl SpeakingEndpoint {
-    /// The most requests that came in any [`COUNTED`] time from `from` on, from processes that had been told before.
-    pub fn most_from_told(&self, from: Instant) -> usize {
-        let told = self.told.borrow();
-        let knew =
-            |came: &&WayArrival| told.get(&came.process).is_some_and(|at| came.at >= *at + HEARD);
+impl SignalEndpoint {
+    /// The most requests in any [`COUNT_WINDOW`] from `from` on, from processes that had seen the
+    /// limit before.
+    pub fn most_from_informed(&self, from: Instant) -> usize {
+        let limit_sent_at = self.limit_sent_at.borrow();
+        let informed = |came: &&RequestArrival| {
+            limit_sent_at.get(&came.process).is_some_and(|at| came.at >= *at + APPLY_TIME)
+        };
         let arrivals = self.arrivals.borrow();
-        most_in(COUNTED, arrivals.iter().filter(knew).map(|came| came.at).filter(|at| *at >= from))
+        most_in(
+            COUNT_WINDOW,
+            arrivals.iter().filter(informed).map(|came| came.at).filter(|at| *at >= from),
+        )
     }
 
-    /// The most requests that came in any [`COUNTED`] time from `from` on.
-    pub fn most_of_all(&self, from: Instant) -> usize {
+    /// The most requests in any [`COUNT_WINDOW`] from `from` on.
+    pub fn most_in_window(&self, from: Instant) -> usize {
         let arrivals = self.arrivals.borrow();
-        most_in(COUNTED, arrivals.iter().map(|came| came.at).filter(|at| *at >= from))
+        most_in(COUNT_WINDOW, arrivals.iter().map(|came| came.at).filter(|at| *at >= from))
     }
 
-    /// Requests from `from` on.
-    pub fn came_from(&self, from: Instant) -> usize {
+    /// Number of requests from `from` on.
+    pub fn count_since(&self, from: Instant) -> usize {
         self.arrivals.borrow().iter().filter(|came| came.at >= from).count()
     }
 
     /// Requests a second from `from` on.
     pub fn rate(&self, from: Instant) -> f64 {
-        self.came_from(from) as f64 / from.elapsed().as_secs_f64()
+        self.count_since(from) as f64 / from.elapsed().as_secs_f64()
     }
 
-    /// How long after it first told a process that it leaves a request of that process reached it; the longest.
-    pub fn latest_after_leaving(&self) -> Duration {
-        let told = self.told_leaving.borrow();
-        let late = |came: &WayArrival| Some(came.at - *told.get(&came.process)?);
+    /// The longest time between the first leaving signal to a process and a request of that
+    /// process.
+    pub fn latest_after_own_notice(&self) -> Duration {
+        let limit_sent_at = self.leaving_sent_at.borrow();
+        let late = |came: &RequestArrival| Some(came.at - *limit_sent_at.get(&came.process)?);
         self.arrivals.borrow().iter().filter_map(late).max().unwrap_or_default()
     }
 
-    /// How long after it first told any process that it leaves a request reached it.
-    pub fn latest_after_any(&self) -> Duration {
-        let first = self.told_leaving.borrow().values().min().copied();
+    /// The time between the first leaving signal to any process and the last request.
+    pub fn latest_after_any_notice(&self) -> Duration {
+        let first = self.leaving_sent_at.borrow().values().min().copied();
         let last = self.arrivals.borrow().iter().map(|came| came.at).max();
         first.zip(last).map(|(first, last)| last - first).unwrap_or_default()
     }
 
-    /// The most requests of one process between half a second after a refusal that asked it for rest, and the end of that.
-    pub fn most_in_rest(&self) -> usize {
+    /// The most requests of one process between half a second after a refusal that asked it for a
+    /// backoff and the end of that backoff.
+    pub fn most_in_backoff(&self) -> usize {
         let arrivals = self.arrivals.borrow();
         let within = |(at, process, seconds): &(Instant, usize, f64)| {
-            let rest = *at + HEARD..*at + Duration::from_secs_f64(*seconds);
-            let came = |came: &&WayArrival| came.process == *process && rest.contains(&came.at);
+            let rest = *at + APPLY_TIME..*at + Duration::from_secs_f64(*seconds);
+            let came = |came: &&RequestArrival| came.process == *process && rest.contains(&came.at);
             arrivals.iter().filter(came).count()
         };
         self.refusals.borrow().iter().map(within).max().unwrap_or_default()
@@ -112,23 +119,23 @@
     times.iter().enumerate().map(within).max().unwrap_or_default()
 }
 
-/// Starts `count` endpoints, and puts their entries into the store.
-pub async fn start_speaking(
+/// Starts `count` endpoints and puts their entries into the store.
+pub async fn start_signal_endpoints(
     registry: &EndpointRegistry,
     count: usize,
-) -> Vec<Rc<SpeakingEndpoint>> {
+) -> Vec<Rc<SignalEndpoint>> {
     let mut endpoints = Vec::new();
     for at in 0..count {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let endpoint = Rc::new(SpeakingEndpoint {
+        let endpoint = Rc::new(SignalEndpoint {
             name: format!("p-{at}"),
             limit: Cell::default(),
             leaves: Cell::default(),
             rest: Cell::default(),
             arrivals: RefCell::default(),
-            told: RefCell::default(),
-            told_leaving: RefCell::default(),
+            limit_sent_at: RefCell::default(),
+            leaving_sent_at: RefCell::default(),
             refusals: RefCell::default(),
         });
         registry.put(&endpoint.name, entry_at(address));
@@ -144,18 +151,19 @@
     )
 }
 
-async fn accept(endpoint: Rc<SpeakingEndpoint>, listener: TcpListener) {
+async fn accept(endpoint: Rc<SignalEndpoint>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::task::spawn_local(serve(endpoint.clone(), stream));
     }
 }
 
-async fn serve(endpoint: Rc<SpeakingEndpoint>, mut stream: TcpStream) {
+async fn serve(endpoint: Rc<SignalEndpoint>, mut stream: TcpStream) {
     let mut buffer = BytesMut::new();
     while let Some(request) = read_request(&mut stream, &mut buffer).await {
         let id = request.header("x-oleandertack-request-id").unwrap_or_default().to_owned();
-        let process = request.header(WAY).and_then(|text| text.parse().ok()).unwrap_or_default();
-        let arrival = WayArrival { at: Instant::now(), process };
+        let process =
+            request.header(PROCESS_HEADER).and_then(|text| text.parse().ok()).unwrap_or_default();
+        let arrival = RequestArrival { at: Instant::now(), process };
         endpoint.arrivals.borrow_mut().push(arrival);
         if let Some(seconds) = endpoint.rest.get() {
             let refusal = format!(
@@ -171,10 +179,10 @@
         }
         sleep(RUN_TIME).await;
         if endpoint.leaves.get() {
-            endpoint.told_leaving.borrow_mut().entry(process).or_insert_with(Instant::now);
+            endpoint.leaving_sent_at.borrow_mut().entry(process).or_insert_with(Instant::now);
         }
         if endpoint.limit.get().is_some() {
-            endpoint.told.borrow_mut().entry(process).or_insert_with(Instant::now);
+            endpoint.limit_sent_at.borrow_mut().entry(process).or_insert_with(Instant::now);
         }
         let answer = format!(
             "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {id}\r\n\
