--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -114,10 +114,11 @@
 
 /// The orders of roll-outs that this process goes by, and how far it has carried out those that it carries out.
 fn dump_releases(node: &FrontNode) -> Value {
-    let desk = node.releases.borrow();
-    let news = desk.book.news(node.clock.now());
+    let rollouts = node.releases.borrow();
+    let news = rollouts.book.news(node.clock.now());
     let order = |told: &ReleaseTold| {
-        let running = desk.running.get(&told.service).filter(|one| one.plan.order().to == told.to);
+        let running =
+            rollouts.running.get(&told.service).filter(|one| one.plan.order().to == told.to);
         json!({
             "service": told.service.as_str(),
             "to": told.to.as_str(),
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -57,7 +57,7 @@
         if self.record.sent() == 0 {
             self.node.note_demand(&self.service, |demand| demand.sent += 1);
         }
-        let route = releases::told_route(self.node, &self.service, &self.route().name);
+        let route = releases::evidence_route(self.node, &self.service, &self.route().name);
         let waits = (self.first_wait(&choice), route);
         let mut work = WorkGuard::begin(self.node, target.key, choice.unread, waits);
         let outcome = self.attempt_at(&target, &mut work).await;
@@ -155,7 +155,7 @@
 
     /// Counts the attempt for its endpoint's version where roll-outs are carried out.
     fn count_version(&self, target: &AttemptTarget, outcome: &AttemptOutcome) {
-        if !releases::are_served(self.node) {
+        if !releases::are_rollouts_enabled(self.node) {
             return;
         }
         let end = match outcome {
--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -8,7 +8,7 @@
 use crate::ingress::CallerRequest;
 use crate::limits::{self, Payment};
 use crate::node::FrontNode;
-use crate::releases::TriedPayment;
+use crate::releases::CandidatePayment;
 use crate::suspects;
 use crate::trace::{CallTrace, TraceGuard};
 use actix_http::header::HeaderMap;
@@ -73,7 +73,7 @@
     /// What tells that it is the same as another.
     pub print: RequestPrint,
     /// What it paid to go to the version under the order of a roll-out; none if it goes to those that serve.
-    pub(crate) trial: Option<TriedPayment>,
+    pub(crate) trial: Option<CandidatePayment>,
     /// When it must be answered.
     pub deadline: Instant,
     /// The last event that its caller has.
@@ -253,7 +253,7 @@
 
     async fn run(&mut self) -> CallOutcome {
         loop {
-            let Some(choice) = self.choose_lane().await else {
+            let Some(choice) = self.choose_for_rollout().await else {
                 return self.refuse_unplaced().await;
             };
             if let Some(back_in) = self.overloaded(&choice) {
@@ -266,7 +266,7 @@
                 AttemptOutcome::Delivered => return Ok(()),
                 AttemptOutcome::CallerGone => return Err(io::ErrorKind::ConnectionAborted.into()),
                 AttemptOutcome::Ended(end, own) => {
-                    self.leave_lane(end);
+                    self.refund_unrun_attempt(end);
                     if let Some(outcome) = self.after(end, own).await {
                         return outcome;
                     }
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -101,8 +101,8 @@
         actix_rt::spawn(report_usage(node.clone(), cloud.clone(), lease.clone()));
     }
     actix_rt::spawn(scale_services(node.clone(), cloud, lease.clone()));
-    if releases::are_served(&node) {
-        actix_rt::spawn(releases::keep_releases(node.clone(), lease.clone()));
+    if releases::are_rollouts_enabled(&node) {
+        actix_rt::spawn(releases::run_rollouts(node.clone(), lease.clone()));
     }
     loop {
         keep_lease(&node, &lease).await;
--- a/crates/front/src/mesh/collect.rs
+++ b/crates/front/src/mesh/collect.rs
@@ -32,7 +32,7 @@
 ) -> Option<PoolLimit> {
     match rules.accounts().iter().find(|account| account.name == *name) {
         Some(account) => pool_limit(node, account),
-        None => releases::limit_of(node, name),
+        None => releases::exposure_limit_of(node, name),
     }
 }
 
@@ -134,7 +134,7 @@
         paces: mesh.paces.clone(),
         suspects: &suspects,
         lease: mesh.lease.clone(),
-        releases: node.releases.borrow().news(now),
+        releases: node.releases.borrow().summary(now),
         oldest_turn: settled_turn(true_now),
         now,
     };
@@ -183,8 +183,8 @@
         fact.is_some_and(|fact| LifeMark::of(fact.entry.life) == *life)
     };
     if !collector.is_repeated(report) {
-        releases::note_evidence(node, report);
-        releases::note_sent(node, &report.demand, collector.demand_before(report));
+        releases::record_evidence(node, report);
+        releases::record_sent(node, &report.demand, collector.demand_before(report));
     }
     let left_out = collector.note_evidence(report, knows, now);
     if left_out > 0 {
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -28,7 +28,7 @@
     };
     let mesh = node.mesh.borrow();
     let now = node.clock.lease_now();
-    releases::hold_tried(node);
+    releases::reserve_candidates(node);
     let mut limits = node.limits.borrow_mut();
     let claims = with_claims.then(|| limits.claims(now).into_iter().map(claim_of).collect());
     let usage = node.usage.borrow().counts().map(usage_of).collect();
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -7,7 +7,7 @@
 use crate::mesh::state::MeshState;
 use crate::meter::FrontMeter;
 use crate::port::PlatformDialect;
-use crate::releases::ReleaseDesk;
+use crate::releases::RolloutState;
 use crate::words::SignalOutbox;
 use actix::Addr;
 use oleander_board::{NodeClock, StopStage};
@@ -72,7 +72,7 @@
     /// The endpoints.
     pub endpoints: RefCell<EndpointBoard>,
     /// What is known of roll-outs.
-    pub releases: RefCell<ReleaseDesk>,
+    pub releases: RefCell<RolloutState>,
     /// Wakes who follows the orders of roll-outs when a version appears that may be under one.
     pub orders_wanted: Notify,
     /// Which prompt parts were sent where.
--- a/crates/front/src/releases.rs
+++ b/crates/front/src/releases.rs
@@ -1,11 +1,14 @@
-//! Which version of a service a request goes to, and the orders of roll-outs at the process that collects.
+//! Roll-outs of service versions: decides which version a request goes to, and tracks the
+//! operators' orders while this process is the collector.
+//!
+//! A version under an order that is not decided yet is called the candidate.
 
 mod desk;
 mod keep;
 mod lane;
 
-pub use desk::{ReleaseDesk, RunningOrder};
-pub(crate) use keep::keep_releases;
+pub use desk::{RolloutState, RunningOrder};
+pub(crate) use keep::run_rollouts;
 
 use crate::limits;
 use crate::node::FrontNode;
@@ -16,37 +19,37 @@
 use oleander_place::{EndpointBoard, EndpointFact, EndpointKey};
 use oleander_release::{ListedVersion, RequestLane, TRIED_HELD, exposure_limit};
 
-/// The fewest endpoints of a version that get its requests while it is tried.
-const LEAST_TRIED: usize = 3;
+/// The fewest endpoints of a candidate that receive its requests while it is tried.
+const MIN_CANDIDATE_ENDPOINTS: usize = 3;
 
-/// Whether roll-outs are carried out here.
-pub(crate) fn are_served(node: &FrontNode) -> bool {
+/// Whether this process carries out roll-outs.
+pub(crate) fn are_rollouts_enabled(node: &FrontNode) -> bool {
     node.bounds().release_share > 0.0
 }
 
-/// Notes on the board which endpoints take requests, by their versions and what is known of orders.
+/// Updates which endpoints on the board receive requests, from their versions and the known orders.
 pub(crate) fn refresh(node: &FrontNode) {
-    if !are_served(node) {
+    if !are_rollouts_enabled(node) {
         return;
     }
     let now = node.clock.now();
     let mut board = node.endpoints.borrow_mut();
-    let mut desk = node.releases.borrow_mut();
+    let mut rollouts = node.releases.borrow_mut();
     let services: Vec<ServiceName> = board.services().map(|(name, _)| name.clone()).collect();
-    let mut lacks_news = false;
+    let mut lacks_orders = false;
     for service in &services {
         let listed = listed_versions(&board, service);
-        lacks_news |= desk.book.note_versions(service, &listed, now);
-        let tried = tried_endpoints(&board, service, (&desk, node.bounds().release_share));
+        lacks_orders |= rollouts.book.note_versions(service, &listed, now);
+        let tried = candidate_endpoints(&board, service, (&rollouts, node.bounds().release_share));
         for key in board.of_service(service).to_vec() {
             let Some(fact) = board.get_mut(key) else { continue };
             let version = (service, &fact.entry.release);
-            fact.serves = desk.book.takes(version, RequestLane::Serving, now);
+            fact.serves = rollouts.book.takes(version, RequestLane::Serving, now);
             fact.is_tried = tried.contains(&key);
         }
     }
-    desk.refreshed(now);
-    if lacks_news {
+    rollouts.mark_refreshed(now);
+    if lacks_orders {
         node.orders_wanted.notify_one();
     }
 }
@@ -71,42 +74,42 @@
     listed
 }
 
-/// The endpoints that get what a version under an order gets.
+/// The endpoints that receive the requests of the candidate.
 ///
-/// While it is tried these are few, the same at all processes: each has as much to do as an endpoint of the version that
-/// serves, so that a version shows that is bad under load.
-fn tried_endpoints(
+/// While it is tried these are few, and the same at all processes: each has as much load as an
+/// endpoint of the serving version, so that a version that fails under load shows it.
+fn candidate_endpoints(
     board: &EndpointBoard,
     service: &ServiceName,
-    (desk, share): (&ReleaseDesk, f64),
+    (rollouts, share): (&RolloutState, f64),
 ) -> Vec<EndpointKey> {
-    let Some(to) = desk.book.tried(service) else { return Vec::new() };
+    let Some(to) = rollouts.book.tried(service) else { return Vec::new() };
     let is_tried = |fact: &EndpointFact| fact.takes_work() && fact.entry.release == *to;
     let keyed = |key: &EndpointKey| {
         let fact = board.get(*key).filter(|fact| is_tried(fact))?;
         Some((fact.entry.instance.stable_hash(), *key))
     };
     let mut keys: Vec<_> = board.of_service(service).iter().filter_map(keyed).collect();
-    if !desk.book.is_moving(service) {
+    if !rollouts.book.is_moving(service) {
         let few = (keys.len() as f64 * share).ceil() as usize;
         keys.sort_by_key(|(hash, _)| *hash);
-        keys.truncate(few.max(LEAST_TRIED));
+        keys.truncate(few.max(MIN_CANDIDATE_ENDPOINTS));
     }
     keys.into_iter().map(|(_, key)| key).collect()
 }
 
-/// A request that goes to the version under an order, and the account that it was paid from.
+/// Marks a request that goes to the candidate, with the account that paid for it.
 #[derive(Clone, Debug)]
-pub(crate) struct TriedPayment(AccountName);
+pub(crate) struct CandidatePayment(AccountName);
 
-/// Decides whether a request goes to the version under an order, and pays for it. `lot` is drawn in 0 to 1; its answer is
-/// expected to last for `takes`.
-pub(crate) async fn take_lane(
+/// Decides whether a request goes to the candidate, and pays for it. `draw` is random in 0 to 1;
+/// its answer is expected to take `expected`.
+pub(crate) async fn pay_for_candidate(
     node: &FrontNode,
     service: &ServiceName,
-    (lot, takes): (f64, TimeSpan),
-) -> Option<TriedPayment> {
-    if !are_served(node) {
+    (draw, expected): (f64, TimeSpan),
+) -> Option<CandidatePayment> {
+    if !are_rollouts_enabled(node) {
         return None;
     }
     let now = node.clock.now();
@@ -115,36 +118,38 @@
     }
     let share = node.bounds().release_share;
     let (account, is_moving) = {
-        let desk = node.releases.borrow();
-        let account = desk.book.paid_from(service, (lot, share), (takes, now))?;
-        (account, desk.book.is_moving(service))
+        let rollouts = node.releases.borrow();
+        let account = rollouts.book.paid_from(service, (draw, share), (expected, now))?;
+        (account, rollouts.book.is_moving(service))
     };
-    // While a version is tried a request that finds nothing handed out goes where it always went. One that would outlast the
-    // moment at which the former version is left is worth a word with the ledger.
+    // While a candidate is tried, a request that finds no allotted budget goes to the serving
+    // version. One that would outlast the moment at which the former version is abandoned is worth
+    // a call to the ledger.
     let is_paid = limits::pay_tried(node, &account, is_moving).await;
-    is_paid.then_some(TriedPayment(account))
+    is_paid.then_some(CandidatePayment(account))
 }
 
-/// Gives back what was paid for an attempt that certainly did not run.
-pub(crate) fn give_back(node: &FrontNode, payment: &TriedPayment) {
+/// Refunds an attempt that certainly did not run.
+pub(crate) fn refund(node: &FrontNode, payment: &CandidatePayment) {
     node.limits.borrow_mut().give_back(&payment.0, 1);
 }
 
-/// Up to how many requests may go to a version, if `account` is that of an order.
-pub(crate) fn limit_of(node: &FrontNode, account: &AccountName) -> Option<PoolLimit> {
-    let desk = node.releases.borrow();
-    let running = desk.plan_of(account)?;
+/// The request limit of a candidate, if `account` pays for one.
+pub(crate) fn exposure_limit_of(node: &FrontNode, account: &AccountName) -> Option<PoolLimit> {
+    let rollouts = node.releases.borrow();
+    let running = rollouts.order_paid_by(account)?;
     Some(exposure_limit(running.plan.most(running.sent())))
 }
 
-/// The requests of versions under orders that this process should hold.
-pub(crate) fn hold_tried(node: &FrontNode) {
+/// Requests the budget for candidates that this process should hold in reserve.
+pub(crate) fn reserve_candidates(node: &FrontNode) {
     let accounts = node.releases.borrow().book.paid_accounts();
     node.limits.borrow_mut().hold_least(&accounts, TRIED_HELD);
 }
 
-/// The route that evidence of an endpoint is told by; none if no order is under way for its service.
-pub(crate) fn told_route(
+/// The route by which evidence about an endpoint is reported; `None` if no order is under way for
+/// its service.
+pub(crate) fn evidence_route(
     node: &FrontNode,
     service: &ServiceName,
     route: &CompactString,
@@ -152,18 +157,18 @@
     node.releases.borrow().book.tried(service).map(|_| route.clone())
 }
 
-/// Takes what a report tells of versions under orders.
-pub(crate) fn note_evidence(node: &FrontNode, report: &NodeReport) {
+/// Records the evidence of a report about versions under orders.
+pub(crate) fn record_evidence(node: &FrontNode, report: &NodeReport) {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
-    let mut desk = node.releases.borrow_mut();
+    let mut rollouts = node.releases.borrow_mut();
     for RouteEvidence { route, seen } in &report.route_evidence {
         let Some(fact) = board.key(&seen.instance).and_then(|key| board.get(key)) else { continue };
-        // What a leaving endpoint fails is no fault of its version.
+        // Failures of a leaving endpoint say nothing about its version.
         if !fact.takes_work() || !seen.tally.is_possible() {
             continue;
         }
-        let Some(running) = desk.running.get_mut(&fact.entry.service) else { continue };
+        let Some(running) = rollouts.running.get_mut(&fact.entry.service) else { continue };
         if fact.entry.release == running.plan.order().to {
             let instance = CompactString::from(seen.instance.as_str());
             running.plan.case.note_tried(route, &instance, &seen.tally);
@@ -173,20 +178,20 @@
     }
 }
 
-/// Counts requests that were sent, for the orders of their services.
-pub(crate) fn note_sent(node: &FrontNode, demand: &[ServiceDemand], before: &[ServiceDemand]) {
-    let mut desk = node.releases.borrow_mut();
+/// Counts the requests that were sent, for the orders of their services.
+pub(crate) fn record_sent(node: &FrontNode, demand: &[ServiceDemand], before: &[ServiceDemand]) {
+    let mut rollouts = node.releases.borrow_mut();
     for asked in demand {
         let known = before.iter().find(|known| known.service == asked.service);
-        // A process that was not heard of before may have sent most of them before the order.
+        // A process without an earlier report may have sent most of its requests before the order.
         let new = known.map_or(0, |known| asked.sent.saturating_sub(known.sent));
-        if let Some(running) = desk.running.get_mut(&asked.service) {
+        if let Some(running) = rollouts.running.get_mut(&asked.service) {
             running.add_sent(new);
         }
     }
 }
 
-/// Whether a version of the service is under an order that is not decided.
+/// Whether the service has an order that is not decided.
 pub(crate) fn is_under_way(node: &FrontNode, service: &ServiceName) -> bool {
     node.releases.borrow().book.tried(service).is_some()
 }
--- a/crates/front/src/releases/keep.rs
+++ b/crates/front/src/releases/keep.rs
@@ -1,4 +1,4 @@
-//! Carries out the orders of roll-outs while this process holds the lease of the control work.
+//! Carries out roll-out orders while this process holds the lease for control work.
 
 use super::desk::RunningOrder;
 use super::refresh;
@@ -16,42 +16,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Between two looks at the orders under way.
+/// Interval between steps of the orders under way.
 const STEP_PERIOD: TimeSpan = TimeSpan(100);
-/// How long a watch of the orders waits for a change. They change rarely; a version that appears ends the wait.
+/// How long a watch of the orders waits for a change. Orders change rarely, and a new version ends
+/// the wait.
 const WATCH_WAIT: TimeSpan = TimeSpan(2500);
-/// The first pause after the store did not answer, and the longest.
-const FAULT_PAUSES: (TimeSpan, TimeSpan) = (TimeSpan(100), TimeSpan(1000));
-/// How long a completed order is told: longer than the entries of endpoints that were stopped stay listed.
-const COMPLETED_TOLD: TimeSpan = TimeSpan(10_000);
-/// A report that was made just before the moment from which a version gets all may come this much after it.
+/// The first and the longest delay before a retry when the store does not answer.
+const RETRY_DELAYS: (TimeSpan, TimeSpan) = (TimeSpan(100), TimeSpan(1000));
+/// How long a completed order is still shared: longer than the entries of stopped endpoints stay
+/// listed.
+const COMPLETED_RETENTION: TimeSpan = TimeSpan(10_000);
+/// Covers a report that was made just before the moment from which a version receives all requests
+/// and arrives after it.
 const REPORT_MARGIN: TimeSpan = TimeSpan(100);
 
-/// The orders as the store has them, by the names of their objects.
+/// The decoded orders in the store, by object name.
 type KnownOrders = BTreeMap<String, Result<OrderEntry, String>>;
 
-/// Follows and carries out the orders until the task is ended.
-pub(crate) async fn keep_releases(node: Rc<FrontNode>, lease: Rc<DutyLease>) {
+/// Follows and carries out the orders until the task is aborted.
+pub(crate) async fn run_rollouts(node: Rc<FrontNode>, lease: Rc<DutyLease>) {
     let mut orders = KnownOrders::new();
-    let mut told = BTreeSet::new();
+    let mut logged = BTreeSet::new();
     let mut from = None;
-    let (first, longest) = FAULT_PAUSES;
+    let (first, longest) = RETRY_DELAYS;
     let mut pause = first;
     loop {
         if lease.fence().is_none() {
-            forget(&node);
+            clear_orders(&node);
             (orders, from) = (KnownOrders::new(), None);
             actix_rt::time::sleep(STEP_PERIOD.duration()).await;
             continue;
         }
         let outcome = {
-            let asking = ask_store(&node, &mut orders, &mut from);
-            tokio::pin!(asking);
+            let reading = read_or_watch(&node, &mut orders, &mut from);
+            tokio::pin!(reading);
             loop {
                 tokio::select! {
-                    outcome = &mut asking => break outcome,
+                    outcome = &mut reading => break outcome,
                     () = actix_rt::time::sleep(STEP_PERIOD.duration()) => {
-                        carry_out(&node, &lease).await;
+                        step_orders(&node, &lease).await;
                     }
                 }
             }
@@ -60,9 +63,9 @@
             Ok(()) => {
                 pause = first;
                 if let Some(mark) = from {
-                    take_orders(&node, &orders, mark, &mut told);
+                    apply_orders(&node, &orders, mark, &mut logged);
                 }
-                carry_out(&node, &lease).await;
+                step_orders(&node, &lease).await;
             }
             Err(fault) => {
                 event!(node, RecordFault;
@@ -74,35 +77,35 @@
     }
 }
 
-/// Another process holds the lease, or none.
-fn forget(node: &FrontNode) {
-    let mut desk = node.releases.borrow_mut();
-    desk.running.clear();
-    desk.read_mark = None;
+/// Drops the orders under way, because this process does not hold the lease.
+fn clear_orders(node: &FrontNode) {
+    let mut rollouts = node.releases.borrow_mut();
+    rollouts.running.clear();
+    rollouts.read_revision = None;
 }
 
-/// Reads the orders, or waits until they change or news of them is wanted.
-async fn ask_store(
+/// Lists the orders, or waits until they change or a new version requires a fresh list.
+async fn read_or_watch(
     node: &FrontNode,
     orders: &mut KnownOrders,
     from: &mut Option<u64>,
 ) -> Result<(), PlatError> {
     let Some(revision) = *from else {
         let page = node.store.list(FeedKind::Releases).await?;
-        *orders = page.objects.iter().map(|object| known_order(node, object)).collect();
+        *orders = page.objects.iter().map(|object| decode_order(node, object)).collect();
         *from = Some(page.as_of);
         return Ok(());
     };
     let answer = tokio::select! {
         answer = node.store.watch(FeedKind::Releases, revision, WATCH_WAIT) => answer?,
-        // A version appeared that may be under an order: the list tells at once.
+        // A new version may be under an order: a fresh list shows it at once.
         () = node.orders_wanted.notified() => FeedAnswer::HistoryLost,
     };
     match answer {
         FeedAnswer::Changes(events, as_of) => {
             for change in events {
                 match change {
-                    FeedEvent::Put(object) => orders.extend([known_order(node, &object)]),
+                    FeedEvent::Put(object) => orders.extend([decode_order(node, &object)]),
                     FeedEvent::Gone { name, .. } => {
                         orders.remove(name.as_str());
                     }
@@ -115,36 +118,36 @@
     Ok(())
 }
 
-fn known_order(node: &FrontNode, object: &FeedObject) -> (String, Result<OrderEntry, String>) {
+fn decode_order(node: &FrontNode, object: &FeedObject) -> (String, Result<OrderEntry, String>) {
     (object.name.to_string(), node.dialect.decode_release(object))
 }
 
-/// Begins orders that are new, and gives up those that were changed or removed.
-fn take_orders(node: &FrontNode, orders: &KnownOrders, mark: u64, told: &mut BTreeSet<String>) {
+/// Starts new orders and withdraws those that were changed or removed.
+fn apply_orders(node: &FrontNode, orders: &KnownOrders, mark: u64, logged: &mut BTreeSet<String>) {
     let now = node.clock.now();
-    node.releases.borrow_mut().read_mark = Some(mark);
+    node.releases.borrow_mut().read_revision = Some(mark);
     let mut kept = BTreeSet::new();
     for (name, order) in orders {
         let entry = match order {
             Ok(entry) => entry,
             Err(fault) => {
-                tell_fault(node, told, (name, OrderFault::Unreadable, fault));
+                log_fault(node, logged, (name, OrderFault::Unreadable, fault));
                 continue;
             }
         };
         kept.insert(entry.order.service.clone());
         if let Err(fault) = check_order(node, entry) {
-            tell_fault(node, told, (name, fault, &format!("{:?}", entry.order)));
+            log_fault(node, logged, (name, fault, &format!("{:?}", entry.order)));
             if fault == OrderFault::BadTime {
-                hold(node, (entry.order.service.clone(), entry.order.to.clone()));
+                block_version(node, (entry.order.service.clone(), entry.order.to.clone()));
             }
             continue;
         }
-        take_order(node, (name, entry), told, now);
+        apply_order(node, (name, entry), logged, now);
     }
     let running: Vec<ServiceName> = node.releases.borrow().running.keys().cloned().collect();
     for service in running.into_iter().filter(|service| !kept.contains(service)) {
-        withdraw(node, &service, told);
+        withdraw(node, &service, logged);
     }
     refresh(node);
 }
@@ -164,10 +167,10 @@
     order.check(is_known, &versions.into_iter().collect::<Vec<_>>())
 }
 
-fn take_order(
+fn apply_order(
     node: &FrontNode,
     (name, entry): (&str, &OrderEntry),
-    told: &mut BTreeSet<String>,
+    logged: &mut BTreeSet<String>,
     now: ClockTime,
 ) {
     let service = &entry.order.service;
@@ -179,17 +182,17 @@
         return;
     }
     if known.is_some() {
-        withdraw(node, service, told);
+        withdraw(node, service, logged);
     }
-    // What was completed before this process heard of it is as if there were no order.
+    // An order that was completed before this process knew it is ignored.
     if entry.state() == Some(ReleaseState::Completed) {
         return;
     }
     let bounds = node.bounds();
     let exposure =
         ExposureBounds { share: bounds.release_share, slack: f64::from(bounds.release_slack) };
-    let mut desk = node.releases.borrow_mut();
-    let heard = desk.book.news(now).told;
+    let mut rollouts = node.releases.borrow_mut();
+    let heard = rollouts.book.news(now).told;
     let before = heard.iter().find(|told| told.service == *service);
     let plan = ReleasePlan::begin(entry.order.clone(), (exposure, entry.state()), before, now);
     event!(node, ReleaseStaged;
@@ -198,32 +201,32 @@
         "revision" => entry.revision, "number" => plan.number());
     let sent = before.filter(|told| told.to == entry.order.to).map_or(0, |told| told.sent);
     let running = RunningOrder::new(name.to_owned(), entry.clone(), (plan, sent));
-    desk.withdrawn.remove(&(service.clone(), entry.order.to.clone()));
-    desk.running.insert(service.clone(), running);
+    rollouts.withdrawn.remove(&(service.clone(), entry.order.to.clone()));
+    rollouts.running.insert(service.clone(), running);
 }
 
-/// An order under way was changed or removed: its version gets nothing.
-fn withdraw(node: &FrontNode, service: &ServiceName, told: &mut BTreeSet<String>) {
+/// Withdraws an order that was changed or removed: its version receives no more requests.
+fn withdraw(node: &FrontNode, service: &ServiceName, logged: &mut BTreeSet<String>) {
     let Some(running) = node.releases.borrow_mut().running.remove(service) else { return };
     let order = running.plan.order().clone();
     if running.plan.is_open() {
         let text = format!("{order:?}");
-        tell_fault(node, told, (&running.name, OrderFault::Withdrawn, &text));
-        hold(node, (order.service, order.to));
+        log_fault(node, logged, (&running.name, OrderFault::Withdrawn, &text));
+        block_version(node, (order.service, order.to));
     }
 }
 
-fn hold(node: &FrontNode, version: (ServiceName, CompactString)) {
+fn block_version(node: &FrontNode, version: (ServiceName, CompactString)) {
     node.releases.borrow_mut().withdrawn.insert(version);
 }
 
-/// Logs what is wrong with an order, once.
-fn tell_fault(
+/// Logs a fault of an order, once.
+fn log_fault(
     node: &FrontNode,
-    told: &mut BTreeSet<String>,
+    logged: &mut BTreeSet<String>,
     (name, fault, text): (&str, OrderFault, &str),
 ) {
-    if told.insert(format!("{name} {fault:?} {text}")) {
+    if logged.insert(format!("{name} {fault:?} {text}")) {
         event!(node, ReleaseFault;
             "order" => name, "code" => fault.code().number(), "fault" => fault.to_string(),
             "text" => text);
@@ -231,20 +234,20 @@
 }
 
 /// Takes the next step of each order under way.
-async fn carry_out(node: &FrontNode, lease: &DutyLease) {
+async fn step_orders(node: &FrontNode, lease: &DutyLease) {
     let services: Vec<ServiceName> = node.releases.borrow().running.keys().cloned().collect();
     for service in services {
         let now = node.clock.now();
         let facts = plan_facts(node, &service, now);
         let actions = {
-            let mut desk = node.releases.borrow_mut();
-            let Some(running) = desk.running.get_mut(&service) else { continue };
+            let mut rollouts = node.releases.borrow_mut();
+            let Some(running) = rollouts.running.get_mut(&service) else { continue };
             running.plan.step(&facts, now)
         };
         drop_completed(node, &service, now);
         for action in actions {
             match action {
-                PlanAction::Tell(stage) => tell_stage(node, &service, (stage, &facts)),
+                PlanAction::Tell(stage) => log_stage(node, &service, (stage, &facts)),
                 PlanAction::Write(state) if lease.fence().is_some() => {
                     write_state(node, &service, state).await;
                 }
@@ -254,23 +257,25 @@
     }
 }
 
-/// Forgets an order that was completed a while ago. Until then the processes are told not to use what is left on their lists of
-/// the former version; later ones that appear without an order serve.
+/// Drops an order some time after its completion. Until then the processes keep avoiding endpoints
+/// of the former version that are still listed; afterwards, endpoints of any version that appear
+/// without an order serve requests.
 fn drop_completed(node: &FrontNode, service: &ServiceName, now: ClockTime) {
-    let mut desk = node.releases.borrow_mut();
-    let Some(running) = desk.running.get_mut(service) else { return };
+    let mut rollouts = node.releases.borrow_mut();
+    let Some(running) = rollouts.running.get_mut(service) else { return };
     if running.plan.stage() != ReleaseStage::Completed {
         return;
     }
     let since = *running.completed_at.get_or_insert(now);
-    if now - since >= COMPLETED_TOLD && running.entry.state() == Some(ReleaseState::Completed) {
-        desk.running.remove(service);
+    if now - since >= COMPLETED_RETENTION && running.entry.state() == Some(ReleaseState::Completed)
+    {
+        rollouts.running.remove(service);
     }
 }
 
-fn tell_stage(node: &FrontNode, service: &ServiceName, (stage, facts): (ReleaseStage, &PlanFacts)) {
-    let desk = node.releases.borrow();
-    let Some(running) = desk.running.get(service) else { return };
+fn log_stage(node: &FrontNode, service: &ServiceName, (stage, facts): (ReleaseStage, &PlanFacts)) {
+    let rollouts = node.releases.borrow();
+    let Some(running) = rollouts.running.get(service) else { return };
     event!(node, ReleaseStaged;
         "service" => service.as_str(), "to" => running.plan.order().to.as_str(),
         "stage" => format!("{stage:?}"), "number" => running.plan.number(),
@@ -279,8 +284,8 @@
 }
 
 fn plan_facts(node: &FrontNode, service: &ServiceName, now: ClockTime) -> PlanFacts {
-    let desk = node.releases.borrow();
-    let Some(running) = desk.running.get(service) else { return PlanFacts::default() };
+    let rollouts = node.releases.borrow();
+    let Some(running) = rollouts.running.get(service) else { return PlanFacts::default() };
     let board = node.endpoints.borrow();
     let mesh = node.mesh.borrow();
     let Some(collector) = mesh.collector.as_ref() else { return PlanFacts::default() };
@@ -310,11 +315,11 @@
     }
 }
 
-/// Writes how an order stands, unless the object was changed meanwhile: then the watch tells.
+/// Writes the state of an order, unless the object has changed; the watch reports such a change.
 async fn write_state(node: &FrontNode, service: &ServiceName, state: ReleaseState) {
     let Some((name, revision, to)) = ({
-        let desk = node.releases.borrow();
-        desk.running.get(service).map(|running| {
+        let rollouts = node.releases.borrow();
+        rollouts.running.get(service).map(|running| {
             (running.name.clone(), running.entry.revision, running.plan.order().to.clone())
         })
     }) else {
@@ -331,8 +336,9 @@
     event!(node, ReleaseWritten;
         "service" => service.as_str(), "to" => to.as_str(), "state" => format!("{state:?}"),
         "revision" => revision, "answer" => format!("{written:?}"));
-    let mut desk = node.releases.borrow_mut();
-    let Some(running) = desk.running.get_mut(service).filter(|running| running.name == name) else {
+    let mut rollouts = node.releases.borrow_mut();
+    let Some(running) = rollouts.running.get_mut(service).filter(|running| running.name == name)
+    else {
         return;
     };
     match written {
--- a/crates/front/src/releases/lane.rs
+++ b/crates/front/src/releases/lane.rs
@@ -1,50 +1,52 @@
-//! Which version an attempt goes to.
+//! Chooses the version that an attempt goes to.
 
-use super::{give_back, take_lane};
+use super::{pay_for_candidate, refund};
 use crate::drive::{CallRun, call_salt};
 use oleander_call::AttemptEnd;
 use oleander_kind::TimeSpan;
 use oleander_kind::hash::mix_bits;
 use oleander_place::PlaceChoice;
 
-/// How long answers of plain services take at the most, but for a few, and what an engine's takes besides its tokens.
-const PLAIN_TIME: TimeSpan = TimeSpan(300);
-/// How long an engine takes for a token, in ms, with all its places taken.
-const STEP_MS: f64 = 6.0;
-/// Callers' guesses of the length of an answer may be this much too short.
+/// The longest answer time of plain services, apart from rare outliers; also the time of an
+/// engine's answer besides its tokens.
+const PLAIN_ANSWER_TIME: TimeSpan = TimeSpan(300);
+/// The time of an engine for one token, in ms, with all its slots in use.
+const TOKEN_MS: f64 = 6.0;
+/// Callers may underestimate the length of an answer by this factor.
 const LENGTH_MARGIN: f64 = 1.3;
 
 impl CallRun<'_, '_> {
-    /// Chooses an endpoint, of the version under the order of a roll-out if the request is one that goes there.
-    pub(crate) async fn choose_lane(&mut self) -> Option<PlaceChoice> {
-        let lot = mix_bits(call_salt(&self.call) ^ u64::from(self.record.sent())) as f64;
-        let lot = lot / u64::MAX as f64;
-        self.trial = take_lane(self.node, &self.service, (lot, self.expected())).await;
+    /// Chooses an endpoint, of the candidate version if the request is one that goes there.
+    pub(crate) async fn choose_for_rollout(&mut self) -> Option<PlaceChoice> {
+        let draw = mix_bits(call_salt(&self.call) ^ u64::from(self.record.sent())) as f64;
+        let draw = draw / u64::MAX as f64;
+        self.trial =
+            pay_for_candidate(self.node, &self.service, (draw, self.expected_duration())).await;
         match self.choose() {
             Some(choice) => Some(choice),
             None => {
                 let trial = self.trial.take()?;
-                give_back(self.node, &trial);
+                refund(self.node, &trial);
                 self.choose()
             }
         }
     }
 
-    /// Gives back what was paid for an attempt that certainly did not run.
-    pub(crate) fn leave_lane(&mut self, end: AttemptEnd) {
+    /// Refunds an attempt that certainly did not run.
+    pub(crate) fn refund_unrun_attempt(&mut self, end: AttemptEnd) {
         if let Some(trial) = self.trial.take().filter(|_| !end.may_have_run()) {
-            give_back(self.node, &trial);
+            refund(self.node, &trial);
         }
     }
 
-    /// How long the whole answer is expected to take.
-    fn expected(&self) -> TimeSpan {
+    /// The expected duration of the whole answer.
+    fn expected_duration(&self) -> TimeSpan {
         let Some(tokens) = self.call.tokens.filter(|_| self.is_engine()) else {
-            return PLAIN_TIME;
+            return PLAIN_ANSWER_TIME;
         };
         let answer = self.call.length_hint.unwrap_or(tokens.answer).min(tokens.answer.max(1));
         let reading = tokens.prompt as f64 / self.node.read_per_ms(&self.service);
-        let ms = reading + answer as f64 * STEP_MS * LENGTH_MARGIN;
-        TimeSpan(ms as u64) + PLAIN_TIME
+        let ms = reading + answer as f64 * TOKEN_MS * LENGTH_MARGIN;
+        TimeSpan(ms as u64) + PLAIN_ANSWER_TIME
     }
 }
--- a/crates/front/src/roster.rs
+++ b/crates/front/src/roster.rs
@@ -152,13 +152,13 @@
         node.life_ended.notify_waiters();
     }
     let key = board.put(entry);
-    if releases::are_served(node)
+    if releases::are_rollouts_enabled(node)
         && let Some(fact) = board.get_mut(key)
     {
         let version = (&fact.entry.service, &fact.entry.release);
-        let mut desk = node.releases.borrow_mut();
-        fact.serves = desk.book.takes(version, RequestLane::Serving, node.clock.now());
-        desk.is_stale |= !fact.serves;
+        let mut rollouts = node.releases.borrow_mut();
+        fact.serves = rollouts.book.takes(version, RequestLane::Serving, node.clock.now());
+        rollouts.is_stale |= !fact.serves;
     }
     drop(board);
     if let Some(life) = former {
