--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -80,8 +80,8 @@
             "frames": node.traffic.frames.get(),
         }),
         "exchange_bytes": json!({
-            "report": dump_account(&mesh.account.report),
-            "digest": dump_account(&mesh.account.digest),
+            "report": dump_account(&mesh.exchange_sizes.report),
+            "digest": dump_account(&mesh.exchange_sizes.digest),
         }),
         "reported_window": mesh.reported_window,
     })
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -125,7 +125,7 @@
     if let Some(notice) = node.mesh.borrow().lease.clone() {
         lease.keeper.borrow_mut().hear(notice.revision, notice.record, now);
     }
-    let succeeded = node.mesh.borrow().is_succeeded(node.clock.now());
+    let succeeded = node.mesh.borrow().has_successor(node.clock.now());
     if node.mesh.borrow().view.me().leaving || succeeded {
         // The process that collects now need not wait for the end of the lease.
         let action = lease.keeper.borrow_mut().release(now);
--- a/crates/front/src/feeds.rs
+++ b/crates/front/src/feeds.rs
@@ -128,7 +128,7 @@
 
 /// How long the next watch waits.
 fn watch_wait(node: &FrontNode) -> TimeSpan {
-    if mesh::leads_watching(node) { LEADING_WAIT } else { WATCH_WAIT }
+    if mesh::is_watch_leader(node) { LEADING_WAIT } else { WATCH_WAIT }
 }
 
 /// Watches until there is an answer; none if the news of the feed grew too old meanwhile, whoever
@@ -156,7 +156,7 @@
 
 async fn grown_old(node: &FrontNode, kind: FeedKind) {
     actix_rt::time::sleep(SHORTEST_WATCH.duration()).await;
-    while let Some(left) = mesh::fresh_for(node, kind, |limits| limits.watcher) {
+    while let Some(left) = mesh::remaining_freshness(node, kind, |limits| limits.watcher) {
         actix_rt::time::sleep(left.duration()).await;
     }
 }
@@ -165,7 +165,7 @@
 async fn stand_by(node: &FrontNode, kind: FeedKind, state: &Cell<FeedState>) {
     state.set(FeedState { watching: false, lost_since: None, ..state.get() });
     while !mesh::must_watch(node, kind) {
-        let left = mesh::fresh_for(node, kind, |limits| limits.follower);
+        let left = mesh::remaining_freshness(node, kind, |limits| limits.follower);
         let pause = left.map_or(STANDBY_PAUSE, |left| left.min(STANDBY_PAUSE));
         actix_rt::time::sleep(pause.duration()).await;
     }
--- a/crates/front/src/limits/pay.rs
+++ b/crates/front/src/limits/pay.rs
@@ -1,7 +1,7 @@
 //! Pays for attempts out of what the ledger handed to this process, and asks it when that is not enough.
 
 use crate::events::event;
-use crate::mesh::{answer_ask, pool_limit};
+use crate::mesh::{answer_limit_ask, pool_limit};
 use crate::node::FrontNode;
 use oleander_call::{AccountRule, CallHead, TokenCount};
 use oleander_kind::{AccountName, TimeSpan};
@@ -164,7 +164,7 @@
             if mesh.has_ledger() { None } else { Some(mesh.ledger_address(node.clock.now())?) };
         (address, ask)
     };
-    let Some(address) = collector else { return answer_ask(node, &ask) };
+    let Some(address) = collector else { return answer_limit_ask(node, &ask) };
     let call = CallPeer { address, body: MeshBody::Ask(ask), limit: ASK_LIMIT };
     match node.peers.get()?.send(call).await {
         Ok(Ok(MeshBody::Allotted(allotment))) => allotment.map(|allotment| *allotment),
--- a/crates/front/src/mesh.rs
+++ b/crates/front/src/mesh.rs
@@ -1,5 +1,5 @@
-//! What a process knows through the others: it reports to the collector, takes its digests, and
-//! collects when it is its turn.
+//! Exchange of state between front processes: each process reports to the collector and applies its
+//! digests. One process at a time is the collector.
 
 mod account;
 mod collect;
@@ -10,8 +10,8 @@
 pub mod state;
 
 pub use collect::MeshPeers;
-pub(crate) use collect::{answer_ask, limit_by_name};
-pub use report::report_period;
+pub(crate) use collect::{answer_limit_ask, limit_by_name};
+pub use report::run_reports;
 pub use state::MeshState;
 
 use crate::events::event;
@@ -22,10 +22,11 @@
 use oleander_limit::PoolLimit;
 use oleander_list::AgeLimits;
 use oleander_plat::FeedKind;
-use state::DIGEST_LASTS;
+use state::DIGEST_LIFETIME;
 
-/// Ends the collecting of a process that stood still for longer than its reporters wait.
-fn end_after_sleep(node: &FrontNode) {
+/// Stops a process that was suspended for longer than its reporters wait from acting as the
+/// collector.
+fn end_collecting_after_stall(node: &FrontNode) {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
     if mesh.sleep.slept(node.clock.wall(), now) && mesh.collector.is_some() {
@@ -35,7 +36,7 @@
     }
 }
 
-/// An account's limit with what the operators allow beyond it.
+/// The limit of an account, with the overshoot that the operators allow.
 pub fn pool_limit(node: &FrontNode, account: &AccountRule) -> Option<PoolLimit> {
     let bounds = node.bounds();
     let rate_per_s = account.tokens_per_s? as f64;
@@ -46,33 +47,34 @@
     Some(PoolLimit { rate_per_s, burst, overshoot, window })
 }
 
-/// Whether this process has to follow a feed of the store itself.
+/// Whether this process has to watch a feed of the store itself.
 ///
-/// A few processes do it for all, so that neither calls nor wake-ups grow with the processes. The
-/// others go by the collector's digests, and ask the store once these stop, or once the news in
-/// them has grown old: then none of the few has heard of the store lately, whatever they take
-/// themselves for.
+/// A few followers do it for all, so that neither store calls nor wake-ups grow with the number of
+/// processes. The others rely on the collector's digests. They ask the store themselves when
+/// digests stop, or when the feed data in them is too old: then no follower has heard from the
+/// store lately, even if each still counts itself as connected.
 ///
-/// A third of the processes may be cut off from the store without an end on their connections. With
-/// two followers both were, and a revoked key was served for 2.2 s; a report of any other follower
-/// brings the news to all within 750 ms.
+/// A third of the processes may be isolated from the store without an error on their connections.
+/// With two followers, both were, and a revoked key was served for 2.2 s. A report of any other
+/// follower brings updates to all within 750 ms.
 pub fn must_watch(node: &FrontNode, kind: FeedKind) -> bool {
-    /// One more than a third of today's nine processes.
-    const WATCHERS: usize = 4;
-    /// One more for each so many processes.
+    /// One more than a third of nine processes.
+    const MIN_WATCHERS: usize = 4;
+    /// One more follower for each so many processes.
     const MEMBERS_PER_WATCHER: usize = 32;
-    let informed = fresh_for(node, kind, |limits| limits.follower).is_some();
+    let informed = remaining_freshness(node, kind, |limits| limits.follower).is_some();
     let informed = informed && node.rules.borrow().version() > 0;
     let now = node.clock.now();
     let mesh = node.mesh.borrow();
-    let told = now - mesh.digest_at < DIGEST_LASTS;
-    let watchers = WATCHERS + mesh.view.serving() as usize / MEMBERS_PER_WATCHER;
-    // A process that the store turned away goes on asking, so that it learns when that is over.
+    let told = now - mesh.digest_at < DIGEST_LIFETIME;
+    let watchers = MIN_WATCHERS + mesh.view.serving() as usize / MEMBERS_PER_WATCHER;
+    // A process that the store refused keeps asking, so that it notices when the store serves it
+    // again.
     !told || !informed || mesh.view.me().unfit || mesh.view.is_among_first(watchers, now)
 }
 
-/// For how much longer the news of a feed is younger than a limit; none if it is older.
-pub fn fresh_for(
+/// How much longer the data of a feed stays within an age limit; `None` if it is older.
+pub fn remaining_freshness(
     node: &FrontNode,
     kind: FeedKind,
     limit: impl FnOnce(AgeLimits) -> TimeSpan,
@@ -85,21 +87,21 @@
     (left > 0).then_some(TimeSpan(left))
 }
 
-/// Whether the others know by this process's answers of the store that nothing has changed: it
-/// collects, or knows nobody who does.
-pub fn leads_watching(node: &FrontNode) -> bool {
+/// Whether the other processes depend on this process to learn that nothing has changed in the
+/// store: it is the collector, or knows of none.
+pub fn is_watch_leader(node: &FrontNode) -> bool {
     let mesh = node.mesh.borrow();
-    mesh.view.collects() || node.clock.now() - mesh.digest_at >= DIGEST_LASTS
+    mesh.view.collects() || node.clock.now() - mesh.digest_at >= DIGEST_LIFETIME
 }
 
-/// Notes whether this process should leave the collecting to one that the store serves. Control
-/// work needs the store, and so do news of rules and endpoints.
-fn note_fitness(node: &FrontNode) {
-    /// Longer than a connection that is made anew.
-    const TURNED_AWAY: TimeSpan = TimeSpan(1000);
+/// Updates whether this process should leave the collecting to one that the store serves. Control
+/// work and updates of rules and endpoints need the store.
+fn update_fitness(node: &FrontNode) {
+    /// Longer than it takes to reconnect.
+    const REFUSAL_TIMEOUT: TimeSpan = TimeSpan(1000);
     let now = node.clock.now();
     let lost_long =
-        |feed: FeedState| feed.lost_since.is_some_and(|since| now - since > TURNED_AWAY);
+        |feed: FeedState| feed.lost_since.is_some_and(|since| now - since > REFUSAL_TIMEOUT);
     let lost = lost_long(node.rules_feed.get()) || lost_long(node.endpoints_feed.get());
     let mut mesh = node.mesh.borrow_mut();
     let was = mesh.view.me().unfit;
@@ -107,11 +109,11 @@
         .collector
         .as_ref()
         .is_some_and(|collector| collector.is_outdone(&node.settings.instance, now));
-    // After an outage for all, some are served a moment before the others.
-    let since = if lost && outdone { mesh.outdone_since.or(Some(now)) } else { None };
-    mesh.outdone_since = since;
-    // Once it has stepped back nobody reports here; the store alone tells when it may return.
-    let unfit = (was && lost) || since.is_some_and(|since| now - since > TURNED_AWAY);
+    // After a store outage for all processes, some are served slightly before the others.
+    let since = if lost && outdone { mesh.step_back_since.or(Some(now)) } else { None };
+    mesh.step_back_since = since;
+    // After stepping back it receives no reports; only the store tells when it may return.
+    let unfit = (was && lost) || since.is_some_and(|since| now - since > REFUSAL_TIMEOUT);
     if unfit != was {
         event!(node, TurnedAway; "so" => unfit);
         mesh.view.set_unfit(unfit);
--- a/crates/front/src/mesh/account.rs
+++ b/crates/front/src/mesh/account.rs
@@ -1,4 +1,4 @@
-//! What news takes of the links of the process that collects.
+//! Measures how many bytes reports and digests take on the links of the collector.
 
 use super::collect::collect;
 use crate::events::event;
@@ -6,37 +6,37 @@
 use oleander_kind::TimeSpan;
 use oleander_mesh::{MeshBody, NewsAccount, NodeReport, digest_account, report_account};
 
-/// Between two exchanges whose parts are counted.
-const ACCOUNT_PERIOD: TimeSpan = TimeSpan(1000);
+/// Interval between measured exchanges.
+const MEASURE_PERIOD: TimeSpan = TimeSpan(1000);
 
-/// Bytes of the parts of one exchange.
+/// Bytes of each part of one exchange.
 #[derive(Clone, Debug, Default)]
-pub struct ExchangeAccount {
+pub struct ExchangeSizes {
     /// Of the report.
     pub report: NewsAccount,
-    /// Of the answer.
+    /// Of the digest that answers it.
     pub digest: NewsAccount,
 }
 
-/// Takes a report of another process as the collector; counts the bytes of one exchange a second.
-pub(super) fn collect_measured(node: &FrontNode, report: NodeReport) -> MeshBody {
+/// Applies a report of another process as the collector, and measures one exchange a second.
+pub(super) fn collect_and_measure(node: &FrontNode, report: NodeReport) -> MeshBody {
     let now = node.clock.now();
-    let is_due = node.mesh.borrow().account_at.is_none_or(|at| now - at >= ACCOUNT_PERIOD);
+    let is_due = node.mesh.borrow().measured_at.is_none_or(|at| now - at >= MEASURE_PERIOD);
     let told = is_due.then(|| report_account(&report));
     let answer = collect(node, report);
     if let (Some(report), MeshBody::Digest(digest)) = (told, &answer) {
-        let account = ExchangeAccount { report, digest: digest_account(digest) };
+        let account = ExchangeSizes { report, digest: digest_account(digest) };
         event!(node, NewsMeasured;
-            "report" => in_words(&account.report), "digest" => in_words(&account.digest),
+            "report" => format_sizes(&account.report), "digest" => format_sizes(&account.digest),
             "sent" => node.traffic.sent.get(), "received" => node.traffic.received.get());
         let mut mesh = node.mesh.borrow_mut();
-        mesh.account_at = Some(now);
-        mesh.account = account;
+        mesh.measured_at = Some(now);
+        mesh.exchange_sizes = account;
     }
     answer
 }
 
-fn in_words(account: &NewsAccount) -> String {
+fn format_sizes(account: &NewsAccount) -> String {
     let part = |(name, bytes): &(&str, usize)| format!("{name} {bytes}");
     account.iter().map(part).collect::<Vec<_>>().join(", ")
 }
--- a/crates/front/src/mesh/collect.rs
+++ b/crates/front/src/mesh/collect.rs
@@ -1,9 +1,9 @@
-//! Collecting: answers the reports of the others while it is this process's turn.
+//! The collector's side: answers the reports of the other processes.
 
-use super::account::collect_measured;
+use super::account::collect_and_measure;
 use super::parts::fetch_list;
 use super::state::{MeshState, followed_collector};
-use super::{end_after_sleep, pool_limit};
+use super::{end_collecting_after_stall, pool_limit};
 use crate::events::event;
 use crate::node::FrontNode;
 use crate::roster;
@@ -24,7 +24,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// The limit of an account of `rules`; none if it has none.
+/// The limit of an account of `rules`; `None` if it has none.
 pub(crate) fn limit_by_name(
     node: &FrontNode,
     rules: &RuleSet,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Answers the reports of the others.
+/// Answers messages of the other processes.
 pub struct MeshPeers(pub Rc<FrontNode>);
 
 impl PeerHandler<MeshBody> for MeshPeers {
@@ -46,15 +46,15 @@
                 if report.roster_update == Some(RosterUpdate::InParts) {
                     fetch_list(&self.0, report.card.address, report.roster.mark());
                 }
-                collect_measured(&self.0, *report)
+                collect_and_measure(&self.0, *report)
             }
             MeshBody::AskPart(ask) => {
                 let now = self.0.clock.now();
                 let part = self.0.roster.borrow().part(&ask, now);
                 MeshBody::Part(Box::new(part))
             }
-            MeshBody::Greet(card) => greeted(&self.0, card),
-            MeshBody::Ask(ask) => MeshBody::Allotted(answer_ask(&self.0, &ask).map(Box::new)),
+            MeshBody::Greet(card) => answer_greeting(&self.0, card),
+            MeshBody::Ask(ask) => MeshBody::Allotted(answer_limit_ask(&self.0, &ask).map(Box::new)),
             MeshBody::Digest(_)
             | MeshBody::Allotted(_)
             | MeshBody::Part(_)
@@ -66,8 +66,8 @@
     }
 }
 
-/// Answers a process that looks for the others.
-fn greeted(node: &FrontNode, card: MemberCard) -> MeshBody {
+/// Answers a process that looks for members.
+fn answer_greeting(node: &FrontNode, card: MemberCard) -> MeshBody {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
     mesh.view.take(card, true, now);
@@ -75,18 +75,18 @@
     let cards = me.chain(mesh.view.others().cloned()).collect();
     let collector = match followed_collector(&mesh, now) {
         Some(card) => Some(card),
-        // One that has others to collect for; a process that just began has only itself.
+        // This process, if it collects for others. A process that just started knows only itself.
         None if mesh.view.serving() > 1 && mesh.view.collects() => Some(mesh.view.me().clone()),
         None => None,
     };
     MeshBody::Members(MemberList { cards, collector })
 }
 
-/// Takes a report as the collector.
+/// Applies a report as the collector, and answers it.
 pub(super) fn collect(node: &FrontNode, report: NodeReport) -> MeshBody {
-    end_after_sleep(node);
+    end_collecting_after_stall(node);
     let now = node.clock.now();
-    take_feeds(node, &report);
+    apply_feed_state(node, &report);
     suspects::apply_notes(node, &report.suspects);
     words::apply_peer_signals(node, &report.words, TimeSpan(0));
     let suspects = node.suspects.borrow();
@@ -106,7 +106,7 @@
         return MeshBody::Follow(card);
     }
     if mesh.collector.is_none() {
-        let told = told_verdicts(node);
+        let told = received_verdicts(node);
         mesh.collector = Some(MeshCollector::begin(now).with_verdicts(told.into_iter()));
         limits::begin_ledger(node, &mut mesh);
         event!(node, CollectingBegan; "members" => mesh.view.serving());
@@ -150,9 +150,9 @@
     }
 }
 
-/// Answers a process that is short of room of an account; none if no ledger is here.
-pub(crate) fn answer_ask(node: &FrontNode, ask: &LimitAsk) -> Option<PoolAllotment> {
-    end_after_sleep(node);
+/// Answers a process that needs more of an account's limit; `None` if this process has no ledger.
+pub(crate) fn answer_limit_ask(node: &FrontNode, ask: &LimitAsk) -> Option<PoolAllotment> {
+    end_collecting_after_stall(node);
     let known = node.rules.borrow();
     let rules = known.current()?;
     let limit = limit_by_name(node, rules, &ask.claim.account)?;
@@ -162,8 +162,8 @@
     collector.as_mut()?.ask(ask, (&limit, view.serving()), now)
 }
 
-/// The endpoints that this process was told to set aside.
-fn told_verdicts(node: &FrontNode) -> Vec<EndpointVerdict> {
+/// The verdicts on endpoints that this process received from the former collector.
+fn received_verdicts(node: &FrontNode) -> Vec<EndpointVerdict> {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
     let verdict = |fact: &EndpointFact| {
@@ -174,7 +174,8 @@
     board.iter().filter_map(|(_, fact)| verdict(fact)).collect()
 }
 
-/// Takes what `report` tells of endpoints, and compares them with one another if it is time.
+/// Records the evidence of `report` about endpoints, and compares the endpoints with one another
+/// when it is due.
 fn judge_endpoints(node: &FrontNode, collector: &mut MeshCollector, report: &NodeReport) {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
@@ -218,9 +219,9 @@
     }
 }
 
-/// Takes what a reporter knows of rules and endpoints, or that the store has spoken to it for what
-/// is known here.
-fn take_feeds(node: &FrontNode, report: &NodeReport) {
+/// Applies the rules and the endpoint list of a reporter, or only the time at which the store last
+/// confirmed them to it.
+fn apply_feed_state(node: &FrontNode, report: &NodeReport) {
     if let Some(rules) = &report.rules_text {
         take_rules(node, rules);
     }
--- a/crates/front/src/mesh/digest.rs
+++ b/crates/front/src/mesh/digest.rs
@@ -1,4 +1,4 @@
-//! Takes what the collector answers.
+//! Applies the digests of the collector.
 
 use crate::events::event;
 use crate::node::FrontNode;
@@ -15,33 +15,34 @@
 use oleander_place::WorkLoad;
 use std::collections::HashMap;
 
-/// Takes a digest; `trip` is how long the exchange took, `claimed_at` when its report was made.
-pub(super) fn take_digest(
+/// Applies a digest. `round_trip` is how long the exchange took, `claimed_at` when its report was
+/// made.
+pub(super) fn apply_digest(
     node: &FrontNode,
     digest: MeshDigest,
-    (trip, claimed_at): (TimeSpan, ClockTime),
+    (round_trip, claimed_at): (TimeSpan, ClockTime),
 ) {
     let now = node.clock.now();
     if let Some(rules) = &digest.rules_text {
         take_rules(node, rules);
     }
     if digest.from.id != node.settings.instance {
-        node.rules.borrow_mut().take_vouch(&digest.rules, trip, now);
-        let told = (&digest.roster, trip);
+        node.rules.borrow_mut().take_vouch(&digest.rules, round_trip, now);
+        let told = (&digest.roster, round_trip);
         roster::take_peer_update(node, &digest.roster_update, told, Some(digest.roster_state));
     }
-    node.releases.borrow_mut().book.hear(&digest.releases, trip, now);
+    node.releases.borrow_mut().book.hear(&digest.releases, round_trip, now);
     releases::refresh(node);
-    take_loads(node, &digest.loads);
-    take_verdicts(node, &digest.verdicts);
+    apply_loads(node, &digest.loads);
+    apply_verdicts(node, &digest.verdicts);
     if let Some(notes) = &digest.suspects {
         suspects::apply_notes(node, notes);
     }
     if let Some(said) = &digest.words {
-        words::apply_snapshot(node, said, trip);
+        words::apply_snapshot(node, said, round_trip);
     }
     words::apply_rate_shares(node, digest.rates.as_deref(), claimed_at);
-    take_allotments(node, digest.allotments, claimed_at);
+    apply_allotments(node, digest.allotments, claimed_at);
     node.usage.borrow_mut().forget(digest.reported_window);
     let mut mesh = node.mesh.borrow_mut();
     let collector = |card: &MemberCard| (card.id.clone(), card.life);
@@ -54,13 +55,13 @@
         Some(members) => mesh.view.adopt(members, now),
         None => mesh.view.confirm(now),
     }
-    mesh.clock.set(digest.true_time, trip, now);
+    mesh.clock.set(digest.true_time, round_trip, now);
     mesh.digest_at = now;
     if !digest.peaks.is_empty() {
         mesh.peaks = digest.peaks;
     }
     if !digest.paces.is_empty() {
-        tell_paces(node, &mesh.paces, &digest.paces);
+        log_paces(node, &mesh.paces, &digest.paces);
         mesh.paces = digest.paces;
     }
     mesh.wants_rules = digest.wants_rules;
@@ -72,19 +73,19 @@
     }
 }
 
-fn take_allotments(node: &FrontNode, allotments: Vec<AccountAllotment>, claimed_at: ClockTime) {
+fn apply_allotments(node: &FrontNode, allotments: Vec<AccountAllotment>, claimed_at: ClockTime) {
     let times = (claimed_at, node.clock.lease_now());
     let mut limits = node.limits.borrow_mut();
     allotments.into_iter().for_each(|told| limits.take(&told.account, told.allotment, times));
 }
 
-/// Logs speeds that differ by more than a tenth from what was known.
-fn tell_paces(node: &FrontNode, known: &[ServicePace], news: &[ServicePace]) {
-    const TOLD_CHANGE: f32 = 0.1;
+/// Logs read speeds that differ from the known ones by more than a tenth.
+fn log_paces(node: &FrontNode, known: &[ServicePace], news: &[ServicePace]) {
+    const MIN_LOGGED_CHANGE: f32 = 0.1;
     let known_of = |pace: &ServicePace| known.iter().find(|known| known.service == pace.service);
     let changed = |pace: &&ServicePace| {
         let near = |known: &ServicePace| (pace.read.per_ms / known.read.per_ms - 1.0).abs();
-        known_of(pace).is_none_or(|known| near(known) > TOLD_CHANGE)
+        known_of(pace).is_none_or(|known| near(known) > MIN_LOGGED_CHANGE)
     };
     for pace in news.iter().filter(changed) {
         event!(node, EnginesPaced;
@@ -93,7 +94,7 @@
     }
 }
 
-fn take_loads(node: &FrontNode, news: &LoadNews) {
+fn apply_loads(node: &FrontNode, news: &LoadNews) {
     let told: HashMap<_, _> = news.loads.iter().map(|load| (load.endpoint, load)).collect();
     let means: HashMap<_, _> = news.means.iter().map(|mean| (&mean.service, mean)).collect();
     let work = |requests, unread_tokens| WorkLoad { requests, unread_tokens };
@@ -109,10 +110,11 @@
     });
 }
 
-fn take_verdicts(node: &FrontNode, verdicts: &[EndpointVerdict]) {
-    /// How long a verdict is believed without being told again: a change of the collector.
-    const BELIEVED: TimeSpan = TimeSpan(3000);
-    let until = node.clock.now() + BELIEVED;
+fn apply_verdicts(node: &FrontNode, verdicts: &[EndpointVerdict]) {
+    /// How long a verdict applies without being repeated: as long as a change of the collector
+    /// takes.
+    const VERDICT_LIFETIME: TimeSpan = TimeSpan(3000);
+    let until = node.clock.now() + VERDICT_LIFETIME;
     let by_life: HashMap<_, _> =
         verdicts.iter().map(|told| ((&told.instance, told.life), told.bad_trait)).collect();
     node.endpoints.borrow_mut().for_each_mut(|fact| {
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -1,4 +1,4 @@
-//! What this process tells the collector.
+//! Builds the report of this process to the collector.
 
 use super::state::MeshState;
 use crate::evidence::report_evidence;
@@ -12,19 +12,19 @@
 };
 use oleander_pace::PaceBook;
 
-/// What a report says of limits.
-pub(super) enum LimitNews {
-    /// Nothing: it goes to a process that may not collect.
+/// What a report contains about limits.
+pub(super) enum LimitContent {
+    /// Nothing, because the receiver may not be the collector.
     Nothing,
-    /// Claims, and the ledger that this process kept until now if it kept one.
+    /// Claims, and the ledger to hand over if this process kept one until now.
     Claims(Option<HandedLedger>),
 }
 
-/// This process's report.
-pub(super) fn make_report(node: &FrontNode, news: LimitNews) -> NodeReport {
+/// Builds the report.
+pub(super) fn make_report(node: &FrontNode, news: LimitContent) -> NodeReport {
     let (with_claims, handed) = match news {
-        LimitNews::Nothing => (false, None),
-        LimitNews::Claims(handed) => (true, handed),
+        LimitContent::Nothing => (false, None),
+        LimitContent::Claims(handed) => (true, handed),
     };
     let mesh = node.mesh.borrow();
     let now = node.clock.lease_now();
@@ -33,8 +33,8 @@
     let claims = with_claims.then(|| limits.claims(now).into_iter().map(claim_of).collect());
     let usage = node.usage.borrow().counts().map(usage_of).collect();
     let roster = node.roster.borrow();
-    let lacked = |theirs| roster.update_for(theirs, None, node.own_source);
-    let roster_update = mesh.wants_roster.as_ref().map(lacked);
+    let update_for_collector = |theirs| roster.update_for(theirs, None, node.own_source);
+    let roster_update = mesh.wants_roster.as_ref().map(update_for_collector);
     let mut suspects = node.suspects.borrow_mut();
     let rules_text = mesh.wants_rules.then(|| node.rules.borrow().text().cloned()).flatten();
     let (evidence, route_evidence) = report_evidence(node);
@@ -61,24 +61,24 @@
         releases: node.releases.borrow().book.followed(),
         suspects: suspects.next_told(node.clock.now()),
         suspects_mark: suspects.shared_mark(),
-        heritage: heritage_of(&mesh, node.clock.now()),
+        heritage: inherited_usage(&mesh, node.clock.now()),
         unreached: mesh.view.unreached(node.clock.now()),
         rules_text,
         roster_update,
     }
 }
 
-/// The counts of other processes that the next collector has to know.
+/// The usage counts of other processes that the next collector needs.
 ///
-/// A process that stopped has told its last counts to the collector alone. If that stops as well
-/// before the window is reported, they would be lost with it.
-fn heritage_of(mesh: &MeshState, now: ClockTime) -> Vec<NodeUsage> {
-    /// Long enough for the successor to be chosen and heard.
-    const PASSED_ON: TimeSpan = TimeSpan(3000);
+/// A process that stopped has sent its last counts to the collector alone. If the collector stops
+/// as well before the window is reported, they would be lost with it.
+fn inherited_usage(mesh: &MeshState, now: ClockTime) -> Vec<NodeUsage> {
+    /// Long enough for the successor to be chosen and to receive a report.
+    const INHERITED_RETENTION: TimeSpan = TimeSpan(3000);
     let leaving = mesh.view.me().leaving;
-    match (&mesh.collector, &mesh.heritage) {
+    match (&mesh.collector, &mesh.inherited_usage) {
         (Some(collector), _) if leaving => collector.usage(),
-        (_, Some((usage, since))) if now - *since < PASSED_ON => usage.clone(),
+        (_, Some((usage, since))) if now - *since < INHERITED_RETENTION => usage.clone(),
         _ => Vec::new(),
     }
 }
--- a/crates/front/src/mesh/parts.rs
+++ b/crates/front/src/mesh/parts.rs
@@ -1,4 +1,4 @@
-//! Asks peers for an endpoint list, or for many changes of it, part by part.
+//! Fetches an endpoint list, or a large update of it, from peers in parts.
 
 use super::report::call_peer;
 use crate::events::event;
@@ -10,19 +10,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How long a peer may take for a part. Nothing else waits for it.
-const PART_LIMIT: TimeSpan = TimeSpan(400);
-/// Between two times that a process asks for a whole list.
-const FETCH_PAUSE: TimeSpan = TimeSpan(1000);
-/// Peers asked for one list at the most, if some do not have it.
-const MOST_ASKED: usize = 4;
+/// Timeout for one part. Nothing else waits for it.
+const PART_TIMEOUT: TimeSpan = TimeSpan(400);
+/// Interval between fetches of a whole list.
+const FETCH_PERIOD: TimeSpan = TimeSpan(1000);
+/// Most peers asked for one list, if some do not have it.
+const MAX_PEERS_ASKED: usize = 4;
 
-/// Begins to ask for what this process lacks of the list, unless that was begun a moment ago: the process at `first`, which
-/// has it as of `mark`, and others only if that one does not answer. Most of them lack it as well.
+/// Starts to fetch the missing part of the list, unless a fetch started shortly before. It asks the
+/// process at `first`, which has the list as of `mark`, and others only if that one does not
+/// answer: most of them lack it as well.
 pub(super) fn fetch_list(node: &Rc<FrontNode>, first: SocketAddr, mark: u64) {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
-    if mesh.fetched_at.is_some_and(|at| now - at < FETCH_PAUSE) {
+    if mesh.fetched_at.is_some_and(|at| now - at < FETCH_PERIOD) {
         return;
     }
     mesh.fetched_at = Some(now);
@@ -39,12 +40,12 @@
     };
     let mut peer = Some(first);
     let mut asked = 1;
-    while let Some(address) = peer.filter(|_| asked <= MOST_ASKED) {
+    while let Some(address) = peer.filter(|_| asked <= MAX_PEERS_ASKED) {
         match fetch_part(&node, address, (&mut book, ask.clone(), mark)).await {
             PartStep::AskAfter(name) => ask.after = Some(name),
             PartStep::Joined(parts) => return roster::take_parts(&node, &parts),
             PartStep::TooOld => {
-                peer = peer_by_lot(&node);
+                peer = random_peer(&node);
                 asked += 1;
             }
         }
@@ -60,14 +61,15 @@
     let Some(hub) = node.peers.get() else { return PartStep::TooOld };
     let asked_at = node.clock.now();
     let call = (address.to_string().into(), MeshBody::AskPart(ask));
-    match call_peer(node, hub, call, PART_LIMIT).await {
+    match call_peer(node, hub, call, PART_TIMEOUT).await {
         Some(MeshBody::Part(part)) => book.take(*part, mark, (asked_at, node.clock.now())),
         _ => PartStep::TooOld,
     }
 }
 
-/// A peer of the same failure domain, if there is one: bytes between domains are paid for.
-fn peer_by_lot(node: &FrontNode) -> Option<SocketAddr> {
+/// A random peer, of the same failure domain if there is one, because traffic between domains is
+/// billed.
+fn random_peer(node: &FrontNode) -> Option<SocketAddr> {
     let mesh = node.mesh.borrow();
     let open: Vec<_> = mesh.view.others().filter(|card| !card.leaving).collect();
     let near: Vec<_> =
--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -1,10 +1,10 @@
-//! Reports to the collector four times a second, and looks for the others.
+//! Reports to the collector four times a second, and finds the other processes.
 
 use super::collect::collect;
-use super::digest::take_digest;
-use super::make::{LimitNews, make_report};
+use super::digest::apply_digest;
+use super::make::{LimitContent, make_report};
 use super::parts::fetch_list;
-use super::{MeshState, end_after_sleep, note_fitness};
+use super::{MeshState, end_collecting_after_stall, update_fitness};
 use crate::events::event;
 use crate::node::FrontNode;
 use crate::{limits, releases, suspects, words};
@@ -17,22 +17,23 @@
 use oleander_wire::{CallPeer, ForgetPeer, PeerHub};
 use std::rc::Rc;
 
-/// Between two reports: allotments outlast two of them.
+/// Interval between reports. Allotments outlast two of them.
 const REPORT_PERIOD: TimeSpan = TimeSpan(250);
-/// How long a collector may take to answer. Longer than a pause for a slow machine's turn, shorter
-/// than two periods, so that the next one is asked before allotments end.
-const ANSWER_LIMIT: TimeSpan = ANSWER_TIME;
-/// A process that wakes this much too late is slow itself or stood still: what seemed slow to it may have
-/// waited in its own sockets, and it does not speak against endpoints. Half of the shortest objective.
-const LATE_WAKING: TimeSpan = TimeSpan(50);
-/// Collectors asked in one round, if the first ones do not answer.
-const MOST_ASKED: usize = 3;
-/// How often a collector asks the seeds. Two groups of processes that know nothing of each other,
-/// after a cut or a start at the same moment, find together through them.
+/// How long a collector may take to answer. Longer than a scheduling pause of a slow machine;
+/// shorter than two periods, so that the next candidate is asked before allotments end.
+const ANSWER_TIMEOUT: TimeSpan = ANSWER_TIME;
+/// A process that wakes this much too late is slow itself or was suspended. Answers that seemed
+/// slow may have waited in its own sockets, so it discards its evidence about endpoints. Half of
+/// the shortest latency objective.
+const MAX_WAKE_DELAY: TimeSpan = TimeSpan(50);
+/// Most collectors asked in one round, if the first ones do not answer.
+const MAX_COLLECTORS_ASKED: usize = 3;
+/// How often a collector asks the seeds. Two groups of processes that do not know each other, after
+/// a network partition or a start at the same moment, find each other through them.
 const SEED_PERIOD: TimeSpan = TimeSpan(4000);
 
-/// Reports to the collector until the task is ended.
-pub async fn report_period(node: Rc<FrontNode>, hub: Addr<PeerHub<MeshBody>>) {
+/// Reports to the collector until the task is aborted.
+pub async fn run_reports(node: Rc<FrontNode>, hub: Addr<PeerHub<MeshBody>>) {
     let mut seeds_asked = ClockTime(0);
     loop {
         report_once(&node, &hub).await;
@@ -44,7 +45,7 @@
         let due_at = node.clock.now() + REPORT_PERIOD;
         actix_rt::time::sleep(REPORT_PERIOD.duration()).await;
         let late = node.clock.now() - due_at;
-        if late > LATE_WAKING {
+        if late > MAX_WAKE_DELAY {
             node.evidence.borrow_mut().withhold();
             event!(node, EvidenceWithheld; "late_ms" => late.0);
         }
@@ -52,25 +53,25 @@
 }
 
 async fn report_once(node: &Rc<FrontNode>, hub: &Addr<PeerHub<MeshBody>>) {
-    note_fitness(node);
+    update_fitness(node);
     releases::refresh(node);
     suspects::refresh_holds(node);
     words::apply_local_shares(node);
-    // A process that begins goes by the collector that the others go by. Choosing for itself, from
-    // what it knows then, half of the processes once stayed apart for a turn after they were killed.
+    // A new process adopts the collector of the others. Choosing for itself, from what it knows
+    // then, half of the processes once stayed apart for a turn after they were killed.
     let undecided = node.mesh.borrow().view.chosen().is_none();
     if undecided || node.mesh.borrow().view.others().next().is_none() {
         ask_seeds(node, hub).await;
     }
-    for _ in 0..MOST_ASKED {
-        end_after_sleep(node);
+    for _ in 0..MAX_COLLECTORS_ASKED {
+        end_collecting_after_stall(node);
         let collector = {
             let mut mesh = node.mesh.borrow_mut();
             let now = node.clock.now();
             mesh.view.sweep(now);
             let true_now = mesh.clock.read(now, node.clock.wall());
             let before = mesh.view.chosen().cloned();
-            if before.as_ref().is_some_and(|id| mesh.is_from(id, now)) {
+            if before.as_ref().is_some_and(|id| mesh.is_current_collector(id, now)) {
                 mesh.view.stay(true_now);
             }
             let card = mesh.view.choose_collector(true_now, now);
@@ -80,77 +81,78 @@
             card
         };
         if collector.id == node.settings.instance {
-            report_here(node).await;
+            report_locally(node).await;
             return;
         }
-        drop_old_collector(node);
+        end_unused_collecting(node);
         if report_to(node, hub, &collector).await {
             return;
         }
     }
 }
 
-/// Reports to this process itself, which collects.
-async fn report_here(node: &FrontNode) {
+/// Reports to this process itself, which is the collector.
+async fn report_locally(node: &FrontNode) {
     let _exchange = node.limit_exchange.lock().await;
     let claimed_at = node.clock.lease_now();
-    let report = make_report(node, LimitNews::Claims(None));
+    let report = make_report(node, LimitContent::Claims(None));
     if let MeshBody::Digest(digest) = collect(node, report) {
         confirm_report(node);
-        take_digest(node, *digest, (TimeSpan(0), claimed_at));
+        apply_digest(node, *digest, (TimeSpan(0), claimed_at));
     }
 }
 
-/// Reports to another process; says whether it collects.
+/// Reports to another process; returns whether that one is the collector.
 ///
-/// One that did not answer before may be gone. Until it answers, this process keeps its ledger if it has one (the others
-/// may have come here as that one was lost), and asks the ledger that it went by for room: with the claims under way
-/// to a process that is gone, every request that is short would wait for it.
+/// A process that has not answered before may be gone. Until it answers, this process keeps its
+/// ledger if it has one (the others may have switched to this process because the former ledger was
+/// lost), and asks the previous ledger for more of the limits. If the claims were sent to a process
+/// that is gone, each request that needs more of a limit would wait for it.
 async fn report_to(
     node: &Rc<FrontNode>,
     hub: &Addr<PeerHub<MeshBody>>,
     collector: &MemberCard,
 ) -> bool {
-    let is_sure = {
+    let is_confirmed = {
         let mesh = node.mesh.borrow();
-        mesh.is_from(&collector.id, node.clock.now()) && !mesh.has_ledger()
+        mesh.is_current_collector(&collector.id, node.clock.now()) && !mesh.has_ledger()
     };
-    if !is_sure {
+    if !is_confirmed {
         let now = node.clock.lease_now();
-        let report = make_report(node, LimitNews::Nothing);
+        let report = make_report(node, LimitContent::Nothing);
         if !call_collector(node, hub, collector, (report, now)).await {
             return false;
         }
     }
-    // A claim that is under way is the only one of its account.
+    // Each account has at most one claim under way.
     let _exchange = node.limit_exchange.lock().await;
     let claimed_at = node.clock.lease_now();
-    let report = make_report(node, LimitNews::Claims(limits::end_ledger(node)));
+    let report = make_report(node, LimitContent::Claims(limits::end_ledger(node)));
     call_collector(node, hub, collector, (report, claimed_at)).await
 }
 
-/// Notes that the collector has what the last report told.
+/// Notes that the collector received the last report.
 fn confirm_report(node: &FrontNode) {
     node.evidence.borrow_mut().confirm_report();
     node.suspects.borrow_mut().note_taken();
     words::confirm_report(node);
 }
 
-/// Ends the collecting of a process to which nobody reports any more. What it knows of the account
-/// windows grows old; going on with that later would let accounts in as if they had spent nothing.
-fn drop_old_collector(node: &FrontNode) {
-    /// Longer than a report that is asked for again.
-    const UNUSED: TimeSpan = TimeSpan(1000);
+/// Stops collecting if no process reports here any more. The account windows known here grow old;
+/// using them later would admit accounts as if they had spent nothing.
+fn end_unused_collecting(node: &FrontNode) {
+    /// Longer than a report with one retry.
+    const UNUSED_TIMEOUT: TimeSpan = TimeSpan(1000);
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
     let heard = mesh.collector.as_ref().and_then(MeshCollector::heard_at);
-    if heard.is_some_and(|at| now - at > UNUSED) {
+    if heard.is_some_and(|at| now - at > UNUSED_TIMEOUT) {
         mesh.end_collecting(now);
         event!(node, CollectingEnded);
     }
 }
 
-/// Asks the seeds for the members they know.
+/// Asks the seeds for the members that they know.
 async fn ask_seeds(node: &Rc<FrontNode>, hub: &Addr<PeerHub<MeshBody>>) {
     for seed in node.seeds() {
         if seed == node.settings.peer {
@@ -159,14 +161,14 @@
         let address: CompactString = seed.to_string().into();
         let body = MeshBody::Greet(node.mesh.borrow().view.me().clone());
         if let Some(MeshBody::Members(list)) =
-            call_peer(node, hub, (address, body), ANSWER_LIMIT).await
+            call_peer(node, hub, (address, body), ANSWER_TIMEOUT).await
         {
-            take_members(node, list);
+            apply_members(node, list);
         }
     }
 }
 
-/// Asks another process; none if it did not answer, which is logged.
+/// Calls another process; `None` if it did not answer, which is logged.
 pub(super) async fn call_peer(
     node: &FrontNode,
     hub: &Addr<PeerHub<MeshBody>>,
@@ -188,7 +190,7 @@
     }
 }
 
-/// Goes by the collector that another process named.
+/// Adopts the collector that another process named.
 fn follow_collector(mesh: &mut MeshState, node: &FrontNode, card: MemberCard) {
     let now = node.clock.now();
     let true_now = mesh.clock.read(now, node.clock.wall());
@@ -196,10 +198,10 @@
     mesh.view.follow(card, true_now, now);
 }
 
-fn take_members(node: &FrontNode, list: MemberList) {
+fn apply_members(node: &FrontNode, list: MemberList) {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
-    // The first is the seed itself.
+    // The first card is that of the seed itself.
     for (at, card) in list.cards.into_iter().enumerate() {
         mesh.view.take(card, at == 0, now);
     }
@@ -215,32 +217,33 @@
     collector: &MemberCard,
     (report, claimed_at): (NodeReport, ClockTime),
 ) -> bool {
-    let again = report.clone();
+    let retry = report.clone();
     let hands_over = report.handed.is_some();
-    // A link may have fallen silent while the process at its end lives: a new one tells.
+    // A connection may be dead although its peer is alive; a new one shows it.
     let mut outcome = call_address(node, hub, collector.address, (report, claimed_at)).await;
     if outcome == CallOutcome::Failed {
-        outcome = call_address(node, hub, collector.address, (again, claimed_at)).await;
+        outcome = call_address(node, hub, collector.address, (retry, claimed_at)).await;
     }
-    if outcome != CallOutcome::Elsewhere && hands_over {
-        // It has the ledger that was ended here, or may have it. A second one would hand out the same.
+    if outcome != CallOutcome::Redirected && hands_over {
+        // The receiver has, or may have, the ledger that was ended here. A second ledger would hand
+        // out the same limits again.
         node.mesh.borrow_mut().ended_ledger = None;
     }
     if outcome == CallOutcome::Failed {
         event!(node, CollectorSilent; "collector" => collector.id.as_str());
         node.mesh.borrow_mut().view.shun(&collector.id, node.clock.now());
     }
-    outcome == CallOutcome::Taken
+    outcome == CallOutcome::Answered
 }
 
-/// How a report to another process ended.
+/// The outcome of a report to another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallOutcome {
-    /// It was answered with a digest.
-    Taken,
-    /// Another process is to be asked.
-    Elsewhere,
-    /// It was not answered.
+    /// Answered with a digest.
+    Answered,
+    /// Another process has to be asked.
+    Redirected,
+    /// Not answered.
     Failed,
 }
 
@@ -253,22 +256,22 @@
     let sent_at = node.clock.now();
     let address: CompactString = address.to_string().into();
     let body = MeshBody::Report(Box::new(report));
-    match call_peer(node, hub, (address, body), ANSWER_LIMIT).await {
+    match call_peer(node, hub, (address, body), ANSWER_TIMEOUT).await {
         Some(MeshBody::Digest(digest)) => {
             confirm_report(node);
             if digest.roster_update == RosterUpdate::InParts {
                 fetch_list(node, digest.from.address, digest.roster.mark());
             }
-            take_digest(node, *digest, (node.clock.now() - sent_at, claimed_at));
-            CallOutcome::Taken
+            apply_digest(node, *digest, (node.clock.now() - sent_at, claimed_at));
+            CallOutcome::Answered
         }
         Some(MeshBody::Leaving(card)) => {
             node.mesh.borrow_mut().view.take(card, true, node.clock.now());
-            CallOutcome::Elsewhere
+            CallOutcome::Redirected
         }
         Some(MeshBody::Follow(card)) => {
             follow_collector(&mut node.mesh.borrow_mut(), node, card);
-            CallOutcome::Elsewhere
+            CallOutcome::Redirected
         }
         Some(
             MeshBody::Report(_)
--- a/crates/front/src/mesh/state.rs
+++ b/crates/front/src/mesh/state.rs
@@ -1,6 +1,6 @@
-//! What one process knows through the others.
+//! The state that a process has from the other processes.
 
-use super::account::ExchangeAccount;
+use super::account::ExchangeSizes;
 use compact_str::CompactString;
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use oleander_limit::PoolLedger;
@@ -10,46 +10,46 @@
     SleepWatch, TrueClock,
 };
 
-/// A digest speaks for the present for this long: four periods.
-pub(super) const DIGEST_LASTS: TimeSpan = TimeSpan(1000);
+/// How long a digest counts as current: four report periods.
+pub(super) const DIGEST_LIFETIME: TimeSpan = TimeSpan(1000);
 
-/// What the process knows through the others.
+/// The state that the process has from the others.
 pub struct MeshState {
     /// The members.
     pub view: MeshView,
-    /// Present once somebody reports here.
+    /// Present while other processes, or this one itself, report here.
     pub collector: Option<MeshCollector>,
-    /// True time.
+    /// Cluster time.
     pub clock: TrueClock,
-    /// The lease of the control work, as last heard.
+    /// The last known lease of the control work.
     pub lease: Option<LeaseNotice>,
     /// Usage windows up to this number are reported.
     pub reported_window: u64,
-    /// What services needed of late.
+    /// The recent peak demand of services.
     pub peaks: Vec<ServicePeak>,
-    /// How fast all processes together saw engines read.
+    /// The engines' read speeds, as measured by all processes together.
     pub paces: Vec<ServicePace>,
     pub(super) sleep: SleepWatch,
-    /// Counts that were reported here while this process collected, and since when they are passed
-    /// on to its successor.
-    pub(super) heritage: Option<(Vec<NodeUsage>, ClockTime)>,
+    /// Usage counts that were reported here while this process was the collector, and since when
+    /// they are passed on to its successor.
+    pub(super) inherited_usage: Option<(Vec<NodeUsage>, ClockTime)>,
     /// The ledger that was ended here, until another collector has it or may have it.
     pub(crate) ended_ledger: Option<PoolLedger>,
-    pub(super) outdone_since: Option<ClockTime>,
+    pub(super) step_back_since: Option<ClockTime>,
     pub(super) digest_at: ClockTime,
     pub(super) digest_from: Option<MemberCard>,
     pub(super) wants_rules: bool,
-    /// How the collector's endpoint list stands, if it asked for what it lacks.
+    /// The state of the collector's endpoint list, if it asked for what it lacks.
     pub(super) wants_roster: Option<RosterStand>,
-    /// Bytes of the parts of the last exchange that was counted, and when that was.
-    pub(crate) account: ExchangeAccount,
-    pub(super) account_at: Option<ClockTime>,
-    /// When this process last asked peers for a whole endpoint list.
+    /// Sizes of the last measured exchange.
+    pub(crate) exchange_sizes: ExchangeSizes,
+    pub(super) measured_at: Option<ClockTime>,
+    /// When this process last started to fetch a whole endpoint list from peers.
     pub(super) fetched_at: Option<ClockTime>,
 }
 
 impl MeshState {
-    /// A process that knows itself.
+    /// The state of a process that knows only itself.
     pub fn new(me: MemberCard) -> Self {
         MeshState {
             view: MeshView::new(me),
@@ -60,28 +60,29 @@
             peaks: Vec::new(),
             paces: Vec::new(),
             sleep: SleepWatch::default(),
-            heritage: None,
+            inherited_usage: None,
             ended_ledger: None,
-            outdone_since: None,
+            step_back_since: None,
             digest_at: ClockTime(0),
             digest_from: None,
             wants_rules: false,
             wants_roster: None,
-            account: ExchangeAccount::default(),
-            account_at: None,
+            exchange_sizes: ExchangeSizes::default(),
+            measured_at: None,
             fetched_at: None,
         }
     }
 
-    /// Ends the collecting; what was counted is passed on for a while.
+    /// Stops collecting; the usage counts are passed on for a while.
     pub(super) fn end_collecting(&mut self, now: ClockTime) {
         let usage = self.collector.take().map(|ended| ended.usage()).unwrap_or_default();
-        self.heritage = Some((usage, now));
+        self.inherited_usage = Some((usage, now));
     }
 
-    /// Where the process listens that answered last; if that was long ago, the one that this process chose.
+    /// The address of the process that sent the last digest; if that was long ago, of the chosen
+    /// collector.
     pub fn ledger_address(&self, now: ClockTime) -> Option<CompactString> {
-        let last = self.digest_from.as_ref().filter(|_| now - self.digest_at < DIGEST_LASTS);
+        let last = self.digest_from.as_ref().filter(|_| now - self.digest_at < DIGEST_LIFETIME);
         let chosen = || self.view.others().find(|card| Some(&card.id) == self.view.chosen());
         let card = last.or_else(chosen)?;
         Some(card.address.to_string().into())
@@ -92,24 +93,25 @@
         self.collector.as_ref().is_some_and(|collector| collector.ledger().is_some())
     }
 
-    /// Whether the last answer came from this process, a moment ago.
-    pub fn is_from(&self, id: &InstanceId, now: ClockTime) -> bool {
-        let last = self.digest_from.as_ref().filter(|_| now - self.digest_at < DIGEST_LASTS);
+    /// Whether the current digest came from process `id`.
+    pub fn is_current_collector(&self, id: &InstanceId, now: ClockTime) -> bool {
+        let last = self.digest_from.as_ref().filter(|_| now - self.digest_at < DIGEST_LIFETIME);
         last.is_some_and(|card| card.id == *id)
     }
 
-    /// Whether another process collects, and this one goes by it.
-    pub fn is_succeeded(&self, now: ClockTime) -> bool {
+    /// Whether another process is the collector and this one follows it.
+    pub fn has_successor(&self, now: ClockTime) -> bool {
         followed_collector(self, now).is_some()
     }
 }
 
-/// The collector that this process goes by, if it is another and answered a moment ago.
+/// The collector that this process follows, if it is another process and answered recently.
 ///
-/// After a cut heals, processes on its two sides know different collectors. Who is asked to collect
-/// although it reports to another names that one, so that they find together.
+/// After a network partition heals, processes on its two sides know different collectors. A process
+/// that receives reports although it follows another collector names that one, so that both sides
+/// agree on one.
 pub(super) fn followed_collector(mesh: &MeshState, now: ClockTime) -> Option<MemberCard> {
-    let present = now - mesh.digest_at < DIGEST_LASTS;
+    let present = now - mesh.digest_at < DIGEST_LIFETIME;
     let from = mesh.digest_from.as_ref().filter(|card| card.id != mesh.view.me().id)?;
     (present && !mesh.view.collects()).then(|| from.clone())
 }
--- a/crates/front/src/process.rs
+++ b/crates/front/src/process.rs
@@ -85,7 +85,7 @@
         actix_rt::spawn(feeds::follow_endpoints(node.clone())),
         actix_rt::spawn(sweep(node.clone())),
         actix_rt::spawn(limits::tell_limits(node.clone())),
-        actix_rt::spawn(mesh::report_period(node.clone(), hub)),
+        actix_rt::spawn(mesh::run_reports(node.clone(), hub)),
         actix_rt::spawn(discover::keep_discovered(node.clone())),
         actix_rt::spawn(kept::keep_record(node.clone(), SuspectStore)),
         actix_rt::spawn(kept::keep_record(node.clone(), WindowStore::default())),
--- a/crates/front/src/window_store.rs
+++ b/crates/front/src/window_store.rs
@@ -117,7 +117,7 @@
 /// Whether this process has to start a ledger and no other process has sent it the windows.
 fn needs_ledger(node: &FrontNode, mesh: &MeshState) -> bool {
     let lacks = mesh.collector.as_ref().is_some_and(|collector| collector.ledger().is_none());
-    lacks && mesh.ended_ledger.is_none() && !mesh.is_succeeded(node.clock.now())
+    lacks && mesh.ended_ledger.is_none() && !mesh.has_successor(node.clock.now())
 }
 
 fn read_list(node: &FrontNode, object: &FeedObject) -> StoredWindows {
--- a/tests/all/ending.rs
+++ b/tests/all/ending.rs
@@ -2,7 +2,7 @@
 
 use crate::front::{Came, ask, request, try_ask};
 use crate::mortal::{FATAL, MortalFleet};
-use crate::plays::{PlayGroup, play};
+use crate::plays::{ProcessGroup, play};
 use futures_util::future::join_all;
 use oleandertack::kind::ResultCode;
 use std::cell::{Cell, RefCell};
@@ -26,7 +26,7 @@
 
 /// Processes before endpoints, with honest callers at work.
 struct EndingPlay {
-    group: PlayGroup,
+    group: ProcessGroup,
     fleet: Rc<MortalFleet>,
     callers: Rc<HonestCallers>,
 }
@@ -67,7 +67,7 @@
 
 impl EndingPlay {
     async fn start() -> Self {
-        let group = PlayGroup::start(PROCESSES).await;
+        let group = ProcessGroup::start(PROCESSES).await;
         group.remove_first_endpoints();
         let fleet = MortalFleet::start(group.registry(), ENDPOINTS).await;
         group.until_listed(ENDPOINTS).await;
--- a/tests/all/keeping.rs
+++ b/tests/all/keeping.rs
@@ -1,6 +1,6 @@
 //! The ledger of limits where the process that keeps it changes, with real processes in virtual time.
 
-use crate::plays::{PlayGroup, play};
+use crate::plays::{ProcessGroup, play};
 use oleandertack::front::FrontProcess;
 use oleandertack::kind::AccountName;
 use oleandertack::mesh::MemberCard;
@@ -20,8 +20,8 @@
 }
 
 /// Processes with a limited account, each of which has let some of it in.
-async fn spending_group() -> PlayGroup {
-    let group = PlayGroup::start(PROCESSES).await;
+async fn spending_group() -> ProcessGroup {
+    let group = ProcessGroup::start(PROCESSES).await;
     group.limit_account(8, RATE);
     sleep(Duration::from_secs(2)).await;
     for process in &group.processes {
@@ -49,7 +49,7 @@
     mesh.collector.as_ref().is_some_and(|collector| collector.ledger().is_some())
 }
 
-fn ledgers(group: &PlayGroup) -> Vec<(u64, u64)> {
+fn ledgers(group: &ProcessGroup) -> Vec<(u64, u64)> {
     group.processes.iter().filter_map(counted).collect()
 }
 
--- a/tests/all/plays.rs
+++ b/tests/all/plays.rs
@@ -1,8 +1,8 @@
-//! Several front processes before one store, in virtual time: what each goes by when the store is
-//! silent to some, refuses others, or forgets.
+//! Several front processes with one store in virtual time: what each of them knows when the store
+//! does not answer some, refuses others, or loses entries.
 //!
-//! The processes and their links are the real ones, on one thread and over loopback. Only the store
-//! and time are made: a step of a millisecond is taken whenever nothing else is to be done.
+//! The processes and their connections are real, on one thread and over loopback. Only the store
+//! and the clock are simulated: time advances by a millisecond whenever nothing else is to be done.
 
 use crate::front::{RULES, object};
 use bytes::Bytes;
@@ -25,40 +25,40 @@
 
 /// How long the store takes to answer.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
-/// How long a call may go without an answer besides the time that it asks the store to wait.
-const CALL_LIMIT: Duration = Duration::from_millis(1000);
-/// Between two looks of a waiting watch, or of a play.
-const STEP: Duration = Duration::from_millis(5);
-/// Until all processes know one another and have a collector.
-const SETTLE: Duration = Duration::from_secs(7);
-
-/// Endpoints that the store begins with.
+/// The timeout of a call, in addition to the time that it asks the store to wait.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Polling interval of a waiting watch, and of the tests.
+const POLL_PERIOD: Duration = Duration::from_millis(5);
+/// Time until all processes know one another and have a collector.
+const STARTUP_TIME: Duration = Duration::from_secs(7);
+
+/// The endpoints in the store at the start.
 const FIRST_ENDPOINTS: [&str; 3] = ["i-0", "i-1", "i-2"];
-/// The longest wait for something that has to come about.
-const MOST_AWAITED: Duration = Duration::from_secs(20);
+/// Timeout for a state that has to be reached.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// How the store stands with one process.
+/// How the store treats one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreMode {
     /// It answers.
     Served,
     /// It refuses each call at once, and ends the waiting ones.
     Refused,
-    /// Calls get no answer.
+    /// It does not answer.
     Silent,
 }
 
-/// One process's way to the store.
+/// The connection of one process to the store.
 #[derive(Debug)]
-pub struct StoreWay {
+pub struct StoreLink {
     mode: Cell<StoreMode>,
-    /// Calls that were under way when it was raised get no answer any more.
+    /// Calls that were under way when this was increased are never answered.
     connection: Cell<u32>,
 }
 
-impl StoreWay {
-    /// Open connections fall silent for good; new ones work.
-    pub fn silence_open(&self) {
+impl StoreLink {
+    /// Silences open connections for good; new ones work.
+    pub fn silence_open_connections(&self) {
         self.connection.set(self.connection.get() + 1);
     }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// What the store holds.
+/// The content of the store.
 #[derive(Default)]
 struct StoreState {
     revision: Cell<u64>,
@@ -109,47 +109,48 @@
     }
 }
 
-struct PlayStore {
+struct TestStore {
     state: Rc<StoreState>,
-    way: Rc<StoreWay>,
+    link: Rc<StoreLink>,
 }
 
 fn unanswered() -> PlatError {
     PlatError::OutcomeUnknown("no answer in time".to_owned())
 }
 
-impl PlayStore {
-    /// Makes a call that the store answers with `answer` once it has one, after `wait` at the latest.
+impl TestStore {
+    /// Makes a call that the store answers with `answer` once it has one, after `wait` at the
+    /// latest.
     async fn call<T>(&self, wait: TimeSpan, answer: impl Fn(bool) -> Option<T>) -> Result<T> {
         let began = Instant::now();
-        let connection = self.way.connection.get();
+        let connection = self.link.connection.get();
         let mut answered = began + ANSWER_TIME;
         loop {
             let waited = began.elapsed();
-            if waited >= wait.duration() + CALL_LIMIT {
+            if waited >= wait.duration() + CALL_TIMEOUT {
                 return Err(unanswered());
             }
-            match self.way.mode.get() {
-                StoreMode::Refused if connection == self.way.connection.get() => {
+            match self.link.mode.get() {
+                StoreMode::Refused if connection == self.link.connection.get() => {
                     sleep(ANSWER_TIME).await;
                     return Err(PlatError::Refused(ResultCode::StoreRefused, "503".to_owned()));
                 }
-                StoreMode::Served if connection == self.way.connection.get() => {
+                StoreMode::Served if connection == self.link.connection.get() => {
                     if Instant::now() >= answered
                         && let Some(answer) = answer(waited >= wait.duration())
                     {
                         return Ok(answer);
                     }
                 }
-                // What it said meanwhile is lost.
-                _ => answered = began + wait.duration() + 2 * CALL_LIMIT,
+                // An answer that was due meanwhile is lost.
+                _ => answered = began + wait.duration() + 2 * CALL_TIMEOUT,
             }
-            sleep(STEP).await;
+            sleep(POLL_PERIOD).await;
         }
     }
 }
 
-impl FeedStore for PlayStore {
+impl FeedStore for TestStore {
     fn list(&self, kind: FeedKind) -> LocalBoxFuture<'_, Result<FeedPage>> {
         self.call(TimeSpan(0), move |_| Some(self.state.page(kind))).boxed_local()
     }
@@ -231,7 +232,7 @@
     }
 }
 
-/// Where endpoints put their entries.
+/// Where endpoints register their entries.
 #[derive(Clone)]
 pub struct EndpointRegistry(Rc<StoreState>);
 
@@ -245,20 +246,20 @@
     }
 }
 
-/// Front processes that know one another.
-pub struct PlayGroup {
+/// A group of front processes that know one another.
+pub struct ProcessGroup {
     pub processes: Vec<FrontProcess>,
-    pub ways: Vec<Rc<StoreWay>>,
+    pub links: Vec<Rc<StoreLink>>,
     state: Rc<StoreState>,
     peers: Vec<SocketAddr>,
     bounds: FrontBounds,
     cloud: Option<Rc<dyn DutyPort>>,
 }
 
-/// A cloud that takes all calls.
-struct WillingCloud;
+/// A cloud that accepts all calls.
+struct AcceptingCloud;
 
-impl DutyPort for WillingCloud {
+impl DutyPort for AcceptingCloud {
     fn report_usage<'a>(
         &'a self,
         _: &'a dyn DutyPermit,
@@ -276,11 +277,12 @@
     }
 }
 
-/// Runs a play in virtual time.
+/// Runs a test in virtual time.
 pub fn play<F: Future>(play: F) -> F::Output {
     actix_rt::System::new().block_on(async {
         tokio::time::pause();
-        // Time passes in small steps: what is on its way between processes arrives before the next one.
+        // Advances time in small steps, so that messages between processes arrive before the next
+        // step.
         actix_rt::spawn(async {
             loop {
                 sleep(Duration::from_millis(1)).await;
@@ -291,8 +293,8 @@
     })
 }
 
-/// A loopback address that no other test has, in this run or in one beside it.
-fn own_address() -> SocketAddr {
+/// A loopback address that no other test uses, in this run or in a concurrent one.
+fn unique_address() -> SocketAddr {
     const FIRST_PORT: u16 = 7471;
     static COUNT: AtomicU16 = AtomicU16::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -319,7 +321,7 @@
     }
 }
 
-/// An entry of the endpoint list; `state` as the platform has it.
+/// An endpoint entry, with `state` in the platform's notation.
 pub fn entry(state: &str) -> Bytes {
     let text = format!(
         r#"{{"service":"s","address":"127.0.0.1:1","zone":"near","version":"v1","slots":6,"state":"{state}","seq":1}}"#
@@ -327,18 +329,19 @@
     Bytes::from(text)
 }
 
-impl PlayGroup {
-    /// Starts `count` processes before a store with three endpoints, and lets them find together.
+impl ProcessGroup {
+    /// Starts `count` processes and a store with three endpoints, and waits until the processes
+    /// know one another.
     pub async fn start(count: usize) -> Self {
         Self::start_with(count, FrontBounds::default(), None).await
     }
 
-    /// The same of processes that carry out roll-outs, of which a version may get a part of `share` of the requests, and
-    /// `slack` besides.
+    /// Like [`ProcessGroup::start`], with roll-outs: a candidate version may receive `share` of the
+    /// requests, and `slack` requests more.
     pub async fn start_releasing(count: usize, (share, slack): (f64, u32)) -> Self {
         let bounds =
             FrontBounds { release_share: share, release_slack: slack, ..FrontBounds::default() };
-        Self::start_with(count, bounds, Some(Rc::new(WillingCloud))).await
+        Self::start_with(count, bounds, Some(Rc::new(AcceptingCloud))).await
     }
 
     async fn start_with(
@@ -352,22 +355,22 @@
         for name in FIRST_ENDPOINTS {
             state.put(FeedKind::Endpoints, name, entry("ready"));
         }
-        let peers: Vec<SocketAddr> = (0..count).map(|_| own_address()).collect();
-        let (processes, ways) = (Vec::new(), Vec::new());
-        let mut group = PlayGroup { processes, ways, state, peers, bounds, cloud };
+        let peers: Vec<SocketAddr> = (0..count).map(|_| unique_address()).collect();
+        let (processes, links) = (Vec::new(), Vec::new());
+        let mut group = ProcessGroup { processes, links, state, peers, bounds, cloud };
         for at in 0..count {
-            let (process, way) = group.start_one(at).await;
+            let (process, link) = group.start_one(at).await;
             group.processes.push(process);
-            group.ways.push(way);
+            group.links.push(link);
         }
-        sleep(SETTLE).await;
+        sleep(STARTUP_TIME).await;
         group
     }
 
-    async fn start_one(&self, at: usize) -> (FrontProcess, Rc<StoreWay>) {
-        let way =
-            Rc::new(StoreWay { mode: Cell::new(StoreMode::Served), connection: Cell::new(0) });
-        let store = PlayStore { state: self.state.clone(), way: way.clone() };
+    async fn start_one(&self, at: usize) -> (FrontProcess, Rc<StoreLink>) {
+        let link =
+            Rc::new(StoreLink { mode: Cell::new(StoreMode::Served), connection: Cell::new(0) });
+        let store = TestStore { state: self.state.clone(), link: link.clone() };
         let seeds = self.peers.iter().copied().take(3).collect();
         let settings = settings(format!("front-{at}"), self.peers[at], seeds);
         let settings = FrontSettings { bounds: self.bounds.clone(), ..settings };
@@ -375,10 +378,11 @@
         let clock = NodeClock::of_runtime();
         let ports = FrontPorts { store: Box::new(store), cloud: self.cloud.clone(), clock };
         let process = start_front(settings, log, Box::new(ObjectsDialect), ports, None);
-        (process.await.expect("it listens"), way)
+        (process.await.expect("it listens"), link)
     }
 
-    /// Kills some processes at one moment, and starts them again `dark` later. Callers' addresses change.
+    /// Kills some processes at one moment, and starts them again after `dark`. The addresses for
+    /// callers change.
     pub async fn kill(&mut self, killed: &[usize], dark: Duration) {
         let mut kept = Vec::new();
         let processes = std::mem::take(&mut self.processes).into_iter().enumerate();
@@ -390,8 +394,8 @@
             let process = match process {
                 Some(process) => process,
                 None => {
-                    let (process, way) = self.start_one(at).await;
-                    self.ways[at] = way;
+                    let (process, link) = self.start_one(at).await;
+                    self.links[at] = link;
                     process
                 }
             };
@@ -404,16 +408,16 @@
         self.until(|process| process.node.is_ready()).await;
     }
 
-    /// Waits until something holds at every process.
+    /// Waits until a condition holds at every process.
     async fn until(&self, holds: impl Fn(&FrontProcess) -> bool) {
         let began = Instant::now();
         while !self.processes.iter().all(&holds) {
-            assert!(began.elapsed() < MOST_AWAITED, "it does not come about at every process");
-            sleep(STEP).await;
+            assert!(began.elapsed() < MAX_WAIT, "it does not come about at every process");
+            sleep(POLL_PERIOD).await;
         }
     }
 
-    /// The store takes away the endpoints that it began with.
+    /// Removes the initial endpoints from the store.
     pub fn remove_first_endpoints(&self) {
         FIRST_ENDPOINTS.iter().for_each(|name| self.remove(name));
     }
@@ -428,30 +432,30 @@
         self.until(lists).await;
     }
 
-    /// The store stands so with every process.
+    /// Sets how the store treats every process.
     pub fn set_all(&self, mode: StoreMode) {
-        self.ways.iter().for_each(|way| way.set(mode));
+        self.links.iter().for_each(|link| link.set(mode));
     }
 
-    /// Which process collects.
+    /// The index of the collector.
     pub fn collector(&self) -> usize {
         let collects = |process: &FrontProcess| process.node.mesh.borrow().view.collects();
         self.processes.iter().position(collects).expect("one collects")
     }
 
-    /// Which processes follow the store.
+    /// The indexes of the processes that watch the store.
     pub fn watchers(&self) -> Vec<usize> {
         let follows = |at: &usize| self.processes[*at].node.endpoints_feed.get().watching;
         (0..self.processes.len()).filter(follows).collect()
     }
 
-    /// The operators put a newer version of the rules into the store.
+    /// Puts a newer version of the rules into the store.
     pub fn change_rules(&self, version: u64) {
         let text = RULES.replace("\"version\":7", &format!("\"version\":{version}"));
         self.state.put(FeedKind::Rules, "main", Bytes::from(text));
     }
 
-    /// The operators limit the one account to this many tokens a second, and as many at once.
+    /// Limits the only account to this many tokens a second, and to the same burst.
     pub fn limit_account(&self, version: u64, tokens: u64) {
         let rules = RULES.replace("\"version\":7", &format!("\"version\":{version}"));
         let limit = format!(r#""rate-per-s":{tokens},"burst":{tokens}"#);
@@ -459,29 +463,29 @@
         self.state.put(FeedKind::Rules, "main", Bytes::from(rules));
     }
 
-    /// For how long, in milliseconds from now, each process still goes by rules older than `version`.
+    /// How long, in milliseconds from now, each process uses rules older than `version`.
     pub async fn older_for(&self, version: u64, most: Duration) -> Vec<u64> {
-        self.lasts(most, |process| process.node.rules.borrow().version() < version).await
+        self.last_times(most, |process| process.node.rules.borrow().version() < version).await
     }
 
-    /// The store takes an entry.
+    /// Puts an entry into the store.
     pub fn put(&self, name: &str, state: &str) {
         self.state.put(FeedKind::Endpoints, name, entry(state));
     }
 
-    /// The operators order a roll-out of the one service.
+    /// Orders a roll-out of the only service.
     pub fn order_release(&self, to: &str, seconds: f64) {
         let spec = format!(r#"{{"service":"s","to":"{to}","duration-s":{seconds}}}"#);
         let body = format!(r#"{{"spec":{spec},"status":null}}"#);
         self.state.put(FeedKind::Releases, "s", Bytes::from(body));
     }
 
-    /// The operators take the order away.
+    /// Removes the order.
     pub fn withdraw_release(&self) {
         self.state.remove(FeedKind::Releases, "s");
     }
 
-    /// What the system wrote of the order.
+    /// The status that the processes wrote into the order.
     pub fn release_status(&self) -> String {
         let page = self.state.page(FeedKind::Releases);
         let body =
@@ -490,12 +494,12 @@
         status.map(|(_, status)| status.trim_end_matches('}').to_owned()).unwrap_or_default()
     }
 
-    /// The way of endpoints to the store.
+    /// The registry that endpoints write to.
     pub fn registry(&self) -> EndpointRegistry {
         EndpointRegistry(self.state.clone())
     }
 
-    /// The store takes an entry away.
+    /// Removes an entry from the store.
     pub fn remove(&self, name: &str) {
         self.state.remove(FeedKind::Endpoints, name);
     }
@@ -505,13 +509,13 @@
         self.processes.iter().all(|process| uses(process, name))
     }
 
-    /// For how long, in milliseconds from now, each process may still send requests to `name`, if
-    /// only as the last resort. Ends after `most`.
+    /// How long, in milliseconds from now, each process may still send requests to `name`, even if
+    /// only as a last resort. Ends after `most`.
     pub async fn uses_for(&self, name: &str, most: Duration) -> Vec<u64> {
-        self.lasts(most, |process| uses(process, name)).await
+        self.last_times(most, |process| uses(process, name)).await
     }
 
-    async fn lasts(&self, most: Duration, holds: impl Fn(&FrontProcess) -> bool) -> Vec<u64> {
+    async fn last_times(&self, most: Duration, holds: impl Fn(&FrontProcess) -> bool) -> Vec<u64> {
         let began = Instant::now();
         let mut last = vec![0; self.processes.len()];
         while began.elapsed() < most {
@@ -520,7 +524,7 @@
                     *last = began.elapsed().as_millis() as u64;
                 }
             }
-            sleep(STEP).await;
+            sleep(POLL_PERIOD).await;
         }
         last
     }
--- a/tests/all/rollout.rs
+++ b/tests/all/rollout.rs
@@ -2,7 +2,7 @@
 //! store is told, and what callers get.
 
 use crate::front::{request, try_ask};
-use crate::plays::{EndpointRegistry, PlayGroup, play};
+use crate::plays::{EndpointRegistry, ProcessGroup, play};
 use crate::scripted::read_request;
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
@@ -39,7 +39,7 @@
 
 impl VersionFleet {
     async fn start(
-        group: &PlayGroup,
+        group: &ProcessGroup,
         version: &'static str,
         fails_one_in: Option<u32>,
     ) -> Rc<Self> {
@@ -109,7 +109,7 @@
 }
 
 impl Callers {
-    fn start(group: &PlayGroup) -> Rc<Self> {
+    fn start(group: &ProcessGroup) -> Rc<Self> {
         let callers = Rc::new(Callers::default());
         let addresses = group.processes.iter().map(|process| process.address());
         *callers.addresses.borrow_mut() = addresses.collect();
@@ -134,14 +134,14 @@
 }
 
 struct Rollout {
-    group: PlayGroup,
+    group: ProcessGroup,
     former: Rc<VersionFleet>,
     callers: Rc<Callers>,
 }
 
 impl Rollout {
     async fn start() -> Self {
-        let group = PlayGroup::start_releasing(PROCESSES, (SHARE, SLACK)).await;
+        let group = ProcessGroup::start_releasing(PROCESSES, (SHARE, SLACK)).await;
         group.remove_first_endpoints();
         let former = VersionFleet::start(&group, "v1", None).await;
         group.until_listed(ENDPOINTS).await;
--- a/tests/all/words.rs
+++ b/tests/all/words.rs
@@ -1,7 +1,7 @@
 //! Endpoint signals (rate limit, leaving, backoff) with several front processes, in virtual time.
 
 use crate::front::{ask, front_with, request, run, still_store, try_ask};
-use crate::plays::{PlayGroup, StoreMode, play};
+use crate::plays::{ProcessGroup, StoreMode, play};
 use crate::scripted::{Act, scripted};
 use crate::seeds::seeds;
 use crate::speaking::{COUNT_WINDOW, PROCESS_HEADER, SignalEndpoint, start_signal_endpoints};
@@ -22,7 +22,7 @@
 
 /// Front processes and endpoints, with callers at each process.
 struct SignalTest {
-    group: PlayGroup,
+    group: ProcessGroup,
     endpoints: Vec<Rc<SignalEndpoint>>,
     callers: Rc<TestCallers>,
 }
@@ -61,7 +61,7 @@
 
 impl SignalTest {
     async fn start(processes: usize, endpoints: usize) -> Self {
-        let group = PlayGroup::start(processes).await;
+        let group = ProcessGroup::start(processes).await;
         group.remove_first_endpoints();
         let endpoints = start_signal_endpoints(&group.registry(), endpoints).await;
         sleep(Duration::from_secs(2)).await;
