--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -21,7 +21,7 @@
 const REPORT_PERIOD: TimeSpan = TimeSpan(250);
 /// How long a collector may take to answer. Longer than a scheduling pause of a slow machine;
 /// shorter than two periods, so that the next candidate is asked before allotments end.
-const ANSWER_TIMEOUT: TimeSpan = ANSWER_TIME;
+const REPORT_TIMEOUT: TimeSpan = ANSWER_TIME;
 /// A process that wakes this much too late is slow itself or was suspended. Answers that seemed
 /// slow may have waited in its own sockets, so it discards its evidence about endpoints. Half of
 /// the shortest latency objective.
@@ -161,7 +161,7 @@
         let address: CompactString = seed.to_string().into();
         let body = MeshBody::Greet(node.mesh.borrow().view.me().clone());
         if let Some(MeshBody::Members(list)) =
-            call_peer(node, hub, (address, body), ANSWER_TIMEOUT).await
+            call_peer(node, hub, (address, body), REPORT_TIMEOUT).await
         {
             apply_members(node, list);
         }
@@ -256,7 +256,7 @@
     let sent_at = node.clock.now();
     let address: CompactString = address.to_string().into();
     let body = MeshBody::Report(Box::new(report));
-    match call_peer(node, hub, (address, body), ANSWER_TIMEOUT).await {
+    match call_peer(node, hub, (address, body), REPORT_TIMEOUT).await {
         Some(MeshBody::Digest(digest)) => {
             confirm_report(node);
             if digest.roster_update == RosterUpdate::InParts {
