--- a/crates/edge/src/drive.rs
+++ b/crates/edge/src/drive.rs
@@ -13,7 +13,8 @@
 use oleander_board::EndpointKey;
 use oleander_claim::ClaimKey;
 use oleander_flow::{
-    Admitted, CutPlan, EndState, FlowSpec, NextStep, PieceVerdict, Received, RequestFlow, Running,
+    Admitted, ChunkVerdict, EndState, NextStep, Received, RequestFlow, RequestSpec, RetryPlan,
+    Running,
 };
 use oleander_kind::{ChatHead, ClockTime, InstanceId, ResultCode, TimeSpan, VersionName};
 use oleander_route::{note_ended, note_failure, note_first_token, note_success};
@@ -51,7 +52,7 @@
     /// The request ends without a whole answer.
     Ended(EndState),
     /// Another attempt follows.
-    Again(RequestFlow<Admitted>, CutPlan),
+    Again(RequestFlow<Admitted>, RetryPlan),
     /// The caller went away and did not come back.
     Deserted(RequestFlow<Running>),
 }
@@ -64,12 +65,12 @@
 }
 
 fn first_flow(node: &EntryNode, job: &StreamJob) -> Result<RequestFlow<Admitted>, ResultCode> {
-    let spec = FlowSpec {
+    let spec = RequestSpec {
         id: job.live.id.clone(),
         idempotent: true,
         resumable: true,
         deadline: job.deadline,
-        most_attempts: MOST_ATTEMPTS,
+        max_attempts: MOST_ATTEMPTS,
     };
     let flow = RequestFlow::<Received>::new(spec);
     if job.adopted {
@@ -84,7 +85,7 @@
         Ok(flow) => flow,
         Err(code) => return EndState::Refused(code),
     };
-    let mut plan = if job.adopted { CutPlan::ResumeSame } else { CutPlan::RerunElsewhere };
+    let mut plan = if job.adopted { RetryPlan::ResumeSame } else { RetryPlan::RerunElsewhere };
     let mut retries = 0;
     loop {
         match run_attempt(node, job, flow, plan).await {
@@ -102,7 +103,7 @@
                 if !accepted && !node.spend_retry(&service) {
                     return next.give_up(ResultCode::BudgetSpent);
                 }
-                if next_plan == CutPlan::RerunElsewhere {
+                if next_plan == RetryPlan::RerunElsewhere {
                     let pause = node.retry_pause(&service, retries);
                     actix_rt::time::sleep(pause.duration()).await;
                     retries += 1;
@@ -135,11 +136,11 @@
     node: &Rc<EntryNode>,
     job: &mut StreamJob,
     flow: RequestFlow<Admitted>,
-    plan: CutPlan,
+    plan: RetryPlan,
 ) -> Attempt {
     let opened = match plan {
-        CutPlan::ResumeSame => open_resume(node, job, flow).await,
-        CutPlan::RerunElsewhere => open_fresh(node, job, flow).await,
+        RetryPlan::ResumeSame => open_resume(node, job, flow).await,
+        RetryPlan::RerunElsewhere => open_fresh(node, job, flow).await,
     };
     match opened {
         Err(attempt) => attempt,
@@ -292,15 +293,15 @@
         (EventKind::Piece, Some(end)) => {
             // The engines number each event by its last token; an event shows one token.
             let start = end.saturating_sub(1);
-            match flow.piece(start, end - start) {
-                PieceVerdict::Show { .. } => {
+            match flow.take_chunk(start, end - start) {
+                ChunkVerdict::Deliver { .. } => {
                     node.meter.count_tokens(1);
                     job.live.show(ShownPiece { end, raw: event.raw, last: false });
                     TakenEvents::More
                 }
-                PieceVerdict::Drop => TakenEvents::More,
+                ChunkVerdict::Drop => TakenEvents::More,
                 // The missing tokens are fetched by asking for the stream from the shown offset.
-                PieceVerdict::Gap { .. } => TakenEvents::Broken,
+                ChunkVerdict::Gap { .. } => TakenEvents::Broken,
             }
         }
         (EventKind::Finish, Some(end)) => {
@@ -330,7 +331,7 @@
     if let Some(instance) = flow.endpoint() {
         job.tried.push(instance.clone());
     }
-    next_attempt(flow.cut(now, lives))
+    next_attempt(flow.connection_lost(now, lives))
 }
 
 /// The endpoint is about to end: its KV goes to another endpoint, and the stream follows.
@@ -346,7 +347,7 @@
         crate::kv::copy_kv(node, job, target).await;
     }
     cancel_upstream(node, job).await;
-    next_attempt(flow.cut(node.clock.now(), false))
+    next_attempt(flow.connection_lost(node.clock.now(), false))
 }
 
 /// Tells the endpoint that nobody wants the stream any more, so that it computes no more of it.
@@ -375,7 +376,7 @@
             job.live.set_stage(LiveStage::Whole);
             node.meter.count_result(0);
         }
-        EndState::Refused(code) | EndState::Doubtful(code) => {
+        EndState::Refused(code) | EndState::Uncertain(code) => {
             job.live.set_stage(LiveStage::Failed(code));
             node.meter.count_result(code.number());
             oleander_board::log_code(&node.log, job.live.id.as_str(), code, "stream ended");
--- a/crates/edge/src/node.rs
+++ b/crates/edge/src/node.rs
@@ -218,7 +218,7 @@
     /// The pause before retry number `retry` of `service`.
     pub fn retry_pause(&self, service: &ServiceName, retry: u32) -> TimeSpan {
         let random = self.random();
-        self.with_budget(service, |budget| budget.pause(retry, random))
+        self.with_budget(service, |budget| budget.backoff(retry, random))
     }
 
     fn with_budget<T>(&self, service: &ServiceName, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
--- a/crates/edge/src/open.rs
+++ b/crates/edge/src/open.rs
@@ -54,10 +54,10 @@
     };
     let shown = job.live.shown();
     let known = node.board.borrow().endpoint_key(&record.endpoint);
-    let running = flow.place(record.endpoint.clone()).write_begins();
+    let running = flow.place(record.endpoint.clone()).begin_write();
     let now = node.clock.now();
     let Some(endpoint) = known else {
-        return Ok((None, Opened::Next(running.cut(now, false))));
+        return Ok((None, Opened::Next(running.connection_lost(now, false))));
     };
     let url = format!("http://{}/v1/streams/{}?offset={shown}", record.address, record.handle);
     match node.client.get(url).send().await {
@@ -70,7 +70,7 @@
             let body = body_stream(response);
             Ok((Some(running), Opened::Body { body, endpoint, prefill: 0 }))
         }
-        _ => Ok((None, Opened::Next(running.cut(node.clock.now(), false)))),
+        _ => Ok((None, Opened::Next(running.connection_lost(node.clock.now(), false)))),
     }
 }
 
@@ -118,10 +118,10 @@
         }
         Err(_) => {
             note_failure(&mut node.board.borrow_mut(), endpoint, &node.health, now);
-            Opened::Next(placed.write_begins().cut(now, false))
+            Opened::Next(placed.begin_write().connection_lost(now, false))
         }
         Ok(response) if response.status().is_success() => {
-            let running = placed.write_begins();
+            let running = placed.begin_write();
             node.step(EntryStep::FirstByteBack).await;
             take_head(node, job, &response, &instance);
             let _ = actix_rt::time::timeout(TimeSpan(250).duration(), shadowing).await;
@@ -133,12 +133,12 @@
         Ok(response) => {
             take_leaving(node, &response, &instance);
             let not_run = response.headers().contains_key("x-not-run");
-            let running = placed.write_begins();
+            let running = placed.begin_write();
             if not_run {
                 Opened::Next(running.refused_by_endpoint(now))
             } else {
                 note_failure(&mut node.board.borrow_mut(), endpoint, &node.health, now);
-                Opened::Next(running.cut(now, false))
+                Opened::Next(running.connection_lost(now, false))
             }
         }
     };
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use oleander_board::EndpointKey;
 use oleander_claim::{ClaimKey, ClaimRecord, ClaimVerdict, body_digest, claim_key};
-use oleander_flow::{Admitted, EndState, FlowSpec, NextStep, Received, RequestFlow};
+use oleander_flow::{Admitted, EndState, NextStep, Received, RequestFlow, RequestSpec};
 use oleander_kind::ident::uuid_v7_millis;
 use oleander_kind::{ClockTime, InstanceId, RequestId, ResultCode, ServiceName, TimeSpan};
 use oleander_member::owner_of;
@@ -145,7 +145,7 @@
 
 fn ended_response(node: &EntryNode, ask: &PlainAsk, ending: EndState) -> HttpResponse {
     let code = match ending {
-        EndState::Refused(code) | EndState::Doubtful(code) => code,
+        EndState::Refused(code) | EndState::Uncertain(code) => code,
         EndState::Complete => ResultCode::EndpointBroken,
     };
     node.meter.count_result(code.number());
@@ -275,7 +275,7 @@
         }
         Err(ending) => {
             let response = ended_response(node, ask, ending);
-            if let EndState::Refused(code) | EndState::Doubtful(code) = ending {
+            if let EndState::Refused(code) | EndState::Uncertain(code) = ending {
                 keep_failure(node, ask, live, code).await;
                 live.set_stage(LiveStage::Failed(code));
             }
@@ -339,12 +339,12 @@
     node: &Rc<EntryNode>,
     ask: &PlainAsk,
 ) -> std::result::Result<KeptAnswer, EndState> {
-    let spec = FlowSpec {
+    let spec = RequestSpec {
         id: ask.id.clone(),
         idempotent: ask.idempotent,
         resumable: false,
         deadline: ask.deadline,
-        most_attempts: MOST_ATTEMPTS,
+        max_attempts: MOST_ATTEMPTS,
     };
     let admitted = RequestFlow::<Received>::new(spec).admit(node.clock.now());
     let mut flow = admitted.map_err(EndState::Refused)?;
@@ -413,19 +413,19 @@
         }
         Err(_) => {
             note_failure(&mut node.board.borrow_mut(), endpoint, &node.health, now);
-            return Err(placed.write_begins().cut(now, true));
+            return Err(placed.begin_write().connection_lost(now, true));
         }
     };
-    let mut running = placed.write_begins();
+    let mut running = placed.begin_write();
     take_leaving(node, &response, &instance);
     if response.headers().contains_key("x-not-run") {
         return Err(running.refused_by_endpoint(now));
     }
     let Ok(body) = response.body().limit(ANSWER_LIMIT).await else {
-        return Err(running.cut(node.clock.now(), true));
+        return Err(running.connection_lost(node.clock.now(), true));
     };
     // The length was checked by the client: a body that ends early is an error above.
-    running.piece(0, 1);
+    running.take_chunk(0, 1);
     running.finish(1);
     note_success(&mut node.board.borrow_mut(), endpoint);
     node.meter.count_result(0);
--- a/crates/flow/src/budget.rs
+++ b/crates/flow/src/budget.rs
@@ -8,20 +8,20 @@
     /// Retries earned by each first attempt, in thousandths.
     pub earned_per_mille: u32,
     /// The most retries kept in store.
-    pub most_kept: u32,
+    pub max_stored: u32,
     /// The first pause before a retry.
-    pub first_pause: TimeSpan,
+    pub base_backoff: TimeSpan,
     /// The longest pause before a retry.
-    pub longest_pause: TimeSpan,
+    pub max_backoff: TimeSpan,
 }
 
 impl Default for BudgetSettings {
     fn default() -> Self {
         BudgetSettings {
             earned_per_mille: 200,
-            most_kept: 50,
-            first_pause: TimeSpan(5),
-            longest_pause: TimeSpan(400),
+            max_stored: 50,
+            base_backoff: TimeSpan(5),
+            max_backoff: TimeSpan(400),
         }
     }
 }
@@ -34,49 +34,49 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: BudgetSettings,
-    kept_per_mille: u64,
+    stored_per_mille: u64,
 }
 
-const ONE_RETRY: u64 = 1000;
+const PER_RETRY: u64 = 1000;
 
 impl RetryBudget {
     /// A full budget.
     pub fn new(settings: BudgetSettings) -> Self {
-        let kept_per_mille = u64::from(settings.most_kept) * ONE_RETRY;
-        RetryBudget { settings, kept_per_mille }
+        let stored_per_mille = u64::from(settings.max_stored) * PER_RETRY;
+        RetryBudget { settings, stored_per_mille }
     }
 
     /// Counts a first attempt.
     pub fn earn(&mut self) {
-        let most = u64::from(self.settings.most_kept) * ONE_RETRY;
-        self.kept_per_mille =
-            (self.kept_per_mille + u64::from(self.settings.earned_per_mille)).min(most);
+        let most = u64::from(self.settings.max_stored) * PER_RETRY;
+        self.stored_per_mille =
+            (self.stored_per_mille + u64::from(self.settings.earned_per_mille)).min(most);
     }
 
     /// Takes one retry out of the budget, if there is one.
     pub fn spend(&mut self) -> bool {
-        if self.kept_per_mille < ONE_RETRY {
+        if self.stored_per_mille < PER_RETRY {
             return false;
         }
-        self.kept_per_mille -= ONE_RETRY;
+        self.stored_per_mille -= PER_RETRY;
         true
     }
 
     /// Whole retries left.
     pub fn left(&self) -> u64 {
-        self.kept_per_mille / ONE_RETRY
+        self.stored_per_mille / PER_RETRY
     }
 
     /// The pause before retry number `retry` (from 0), with full jitter from `random`: all callers
     /// of a lost endpoint would otherwise come back in the same millisecond.
-    pub fn pause(&self, retry: u32, random: u64) -> TimeSpan {
-        let doubled = self.settings.first_pause.0 << retry.min(16);
-        let ceiling = doubled.min(self.settings.longest_pause.0).max(1);
+    pub fn backoff(&self, retry: u32, random: u64) -> TimeSpan {
+        let doubled = self.settings.base_backoff.0 << retry.min(16);
+        let ceiling = doubled.min(self.settings.max_backoff.0).max(1);
         TimeSpan(random % (ceiling + 1))
     }
 
-    /// Whether a pause of `pause` still leaves time before `deadline`.
-    pub fn in_time(&self, now: ClockTime, pause: TimeSpan, deadline: ClockTime) -> bool {
-        now + pause < deadline
+    /// Whether a pause of `backoff` still leaves time before `deadline`.
+    pub fn in_time(&self, now: ClockTime, backoff: TimeSpan, deadline: ClockTime) -> bool {
+        now + backoff < deadline
     }
 }
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use budget::{BudgetSettings, RetryBudget};
 pub use life::{
-    Admitted, AttemptFacts, CutPlan, EndState, FlowSpec, NextStep, Placed, Received, RequestFlow,
-    Running,
+    Admitted, AttemptFacts, EndState, NextStep, Placed, Received, RequestFlow, RequestSpec,
+    RetryPlan, Running,
 };
-pub use splice::{AnswerSplice, PieceVerdict};
+pub use splice::{AnswerSplice, ChunkVerdict};
--- a/crates/flow/src/life.rs
+++ b/crates/flow/src/life.rs
@@ -1,12 +1,12 @@
 //! The states of a request and the steps between them.
 
-use crate::splice::{AnswerSplice, PieceVerdict};
+use crate::splice::{AnswerSplice, ChunkVerdict};
 use oleander_kind::{ClockTime, InstanceId, RequestId, ResultCode};
 use std::marker::PhantomData;
 
 /// What a request is, as far as its life depends on it.
 #[derive(Clone, Debug)]
-pub struct FlowSpec {
+pub struct RequestSpec {
     /// Its id.
     pub id: RequestId,
     /// Whether running it twice does no harm. Model streams count as idempotent: a rerun goes on
@@ -18,7 +18,7 @@
     pub deadline: ClockTime,
     /// The most attempts in a row that bring no token, the first included. An attempt that shows
     /// something starts the count anew: a stream that gets on is never given up.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// The recorded facts of all attempts so far, joined: a fact once true stays true.
@@ -40,12 +40,12 @@
     /// It did not run, and the code says so.
     Refused(ResultCode),
     /// It may have run; the code tells what is known.
-    Doubtful(ResultCode),
+    Uncertain(ResultCode),
 }
 
 /// How a cut stream goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutPlan {
+pub enum RetryPlan {
     /// Ask the same endpoint for the stream from the shown offset.
     ResumeSame,
     /// Run elsewhere, with the shown tokens as the start of the answer.
@@ -68,11 +68,11 @@
 /// One request in state `S`.
 #[derive(Debug)]
 pub struct RequestFlow<S> {
-    spec: FlowSpec,
+    spec: RequestSpec,
     facts: AttemptFacts,
     splice: AnswerSplice,
     attempts: u32,
-    fruitless: u32,
+    stalled_attempts: u32,
     resumes: u32,
     endpoint: Option<InstanceId>,
     state: PhantomData<S>,
@@ -86,7 +86,7 @@
         /// The request, ready to be placed.
         flow: RequestFlow<Admitted>,
         /// Why another attempt is safe.
-        plan: CutPlan,
+        plan: RetryPlan,
     },
     /// Answer the caller.
     Ended(EndState),
@@ -94,7 +94,7 @@
 
 impl<S> RequestFlow<S> {
     /// What the request is.
-    pub fn spec(&self) -> &FlowSpec {
+    pub fn spec(&self) -> &RequestSpec {
         &self.spec
     }
 
@@ -104,8 +104,8 @@
     }
 
     /// Tokens shown so far.
-    pub fn shown(&self) -> u64 {
-        self.splice.shown()
+    pub fn delivered(&self) -> u64 {
+        self.splice.delivered()
     }
 
     /// The endpoint of the newest attempt.
@@ -118,13 +118,13 @@
         self.attempts
     }
 
-    fn turn<T>(self) -> RequestFlow<T> {
+    fn into_state<T>(self) -> RequestFlow<T> {
         RequestFlow {
             spec: self.spec,
             facts: self.facts,
             splice: self.splice,
             attempts: self.attempts,
-            fruitless: self.fruitless,
+            stalled_attempts: self.stalled_attempts,
             resumes: self.resumes,
             endpoint: self.endpoint,
             state: PhantomData,
@@ -134,31 +134,31 @@
     /// The true ending for a request that goes no further because of `code`. A code that says
     /// "not run" is replaced once the facts no longer bear it out: a caller that believed it would
     /// repeat a batch code that was already printed.
-    fn ending(&self, code: ResultCode) -> EndState {
+    fn end_state(&self, code: ResultCode) -> EndState {
         let untouched = !self.facts.may_have_left && !self.facts.may_have_run;
         match (code.says_not_run(), untouched) {
             (true, true) => EndState::Refused(code),
             (true, false) if code == ResultCode::DeadlineNotRun => {
-                EndState::Doubtful(ResultCode::DeadlinePassed)
+                EndState::Uncertain(ResultCode::DeadlinePassed)
             }
-            (true, false) => EndState::Doubtful(ResultCode::Uncertain),
+            (true, false) => EndState::Uncertain(ResultCode::Uncertain),
             (false, true) if code == ResultCode::DeadlinePassed => {
                 EndState::Refused(ResultCode::DeadlineNotRun)
             }
-            (false, _) => EndState::Doubtful(code),
+            (false, _) => EndState::Uncertain(code),
         }
     }
 }
 
 impl RequestFlow<Received> {
     /// A request as it was read.
-    pub fn new(spec: FlowSpec) -> Self {
+    pub fn new(spec: RequestSpec) -> Self {
         RequestFlow {
             spec,
             facts: AttemptFacts::default(),
             splice: AnswerSplice::default(),
             attempts: 0,
-            fruitless: 0,
+            stalled_attempts: 0,
             resumes: 0,
             endpoint: None,
             state: PhantomData,
@@ -173,19 +173,19 @@
         if now >= self.spec.deadline {
             return Err(ResultCode::DeadlineNotRun);
         }
-        Ok(self.turn::<Admitted>())
+        Ok(self.into_state::<Admitted>())
     }
 
-    /// Takes over a request that another process admitted: it may have run, and `shown` tokens may
+    /// Takes over a request that another process admitted: it may have run, and `delivered` tokens may
     /// have reached the caller.
-    pub fn adopt(self, endpoint: InstanceId, shown: u64) -> RequestFlow<Admitted> {
-        let mut flow = self.turn::<Admitted>();
+    pub fn adopt(self, endpoint: InstanceId, delivered: u64) -> RequestFlow<Admitted> {
+        let mut flow = self.into_state::<Admitted>();
         flow.facts.may_have_left = true;
         flow.facts.may_have_run = true;
         flow.attempts = 1;
         flow.endpoint = Some(endpoint);
         flow.splice.begin_attempt(1);
-        flow.splice.judge(1, 0, shown);
+        flow.splice.judge(1, 0, delivered);
         flow
     }
 }
@@ -194,15 +194,15 @@
     /// Chooses an endpoint for the next attempt.
     pub fn place(mut self, endpoint: InstanceId) -> RequestFlow<Placed> {
         self.attempts += 1;
-        self.fruitless += 1;
+        self.stalled_attempts += 1;
         self.splice.begin_attempt(self.attempts);
         self.endpoint = Some(endpoint);
-        self.turn::<Placed>()
+        self.into_state::<Placed>()
     }
 
     /// Gives up before a further attempt.
     pub fn give_up(self, code: ResultCode) -> EndState {
-        self.ending(code)
+        self.end_state(code)
     }
 }
 
@@ -211,14 +211,18 @@
     ///
     /// This is recorded before the write is handed to the socket, not after it succeeded. A write
     /// that fails half way has still let bytes out, and an endpoint may act on them.
-    pub fn write_begins(mut self) -> RequestFlow<Running> {
+    pub fn begin_write(mut self) -> RequestFlow<Running> {
         self.facts.may_have_left = true;
-        self.turn::<Running>()
+        self.into_state::<Running>()
     }
 
     /// The connection could not be made. No byte left, so any request may try again.
     pub fn connect_failed(self, now: ClockTime) -> NextStep {
-        self.turn::<Running>().retry_or_end(now, ResultCode::NoEndpoint, CutPlan::RerunElsewhere)
+        self.into_state::<Running>().retry_or_end(
+            now,
+            ResultCode::NoEndpoint,
+            RetryPlan::RerunElsewhere,
+        )
     }
 }
 
@@ -227,15 +231,15 @@
     /// an earlier attempt left a doubt.
     pub fn refused_by_endpoint(mut self, now: ClockTime) -> NextStep {
         self.facts.may_have_left = self.facts.may_have_run;
-        self.retry_or_end(now, ResultCode::BudgetSpent, CutPlan::RerunElsewhere)
+        self.retry_or_end(now, ResultCode::BudgetSpent, RetryPlan::RerunElsewhere)
     }
 
     /// A piece of the answer arrived.
-    pub fn piece(&mut self, start: u64, tokens: u64) -> PieceVerdict {
+    pub fn take_chunk(&mut self, start: u64, tokens: u64) -> ChunkVerdict {
         self.facts.may_have_run = true;
         let verdict = self.splice.judge(self.attempts, start, tokens);
-        if matches!(verdict, PieceVerdict::Show { .. }) {
-            self.fruitless = 0;
+        if matches!(verdict, ChunkVerdict::Deliver { .. }) {
+            self.stalled_attempts = 0;
             self.resumes = 0;
         }
         verdict
@@ -252,14 +256,14 @@
     ///
     /// A stream is first asked for where it stood (no token is computed again); only when that
     /// failed once for this endpoint is it run elsewhere. A non-idempotent request ends in doubt.
-    pub fn cut(mut self, now: ClockTime, endpoint_lives: bool) -> NextStep {
+    pub fn connection_lost(mut self, now: ClockTime, endpoint_lives: bool) -> NextStep {
         self.facts.may_have_run = true;
         if self.spec.resumable && endpoint_lives && self.resumes == 0 {
             self.resumes += 1;
-            return self.retry_or_end(now, ResultCode::Uncertain, CutPlan::ResumeSame);
+            return self.retry_or_end(now, ResultCode::Uncertain, RetryPlan::ResumeSame);
         }
         self.resumes = 0;
-        self.retry_or_end(now, ResultCode::Uncertain, CutPlan::RerunElsewhere)
+        self.retry_or_end(now, ResultCode::Uncertain, RetryPlan::RerunElsewhere)
     }
 
     /// The caller went away, or its deadline passed.
@@ -267,27 +271,27 @@
         if self.facts.whole {
             return EndState::Complete;
         }
-        self.ending(code)
+        self.end_state(code)
     }
 
-    fn retry_or_end(self, now: ClockTime, code: ResultCode, plan: CutPlan) -> NextStep {
+    fn retry_or_end(self, now: ClockTime, code: ResultCode, plan: RetryPlan) -> NextStep {
         if self.facts.whole {
             return NextStep::Ended(EndState::Complete);
         }
         if now >= self.spec.deadline {
-            let ending = self.ending(ResultCode::DeadlinePassed);
-            return NextStep::Ended(ending);
+            let end_state = self.end_state(ResultCode::DeadlinePassed);
+            return NextStep::Ended(end_state);
         }
         // The rule that keeps a batch code from being issued twice: past a doubt, only a request
         // that may run twice is sent again.
-        let doubtful = self.facts.may_have_left || self.facts.may_have_run;
-        if doubtful && !self.spec.idempotent {
-            return NextStep::Ended(EndState::Doubtful(ResultCode::Uncertain));
+        let uncertain = self.facts.may_have_left || self.facts.may_have_run;
+        if uncertain && !self.spec.idempotent {
+            return NextStep::Ended(EndState::Uncertain(ResultCode::Uncertain));
         }
-        if self.fruitless >= self.spec.most_attempts {
-            let ending = self.ending(code);
-            return NextStep::Ended(ending);
+        if self.stalled_attempts >= self.spec.max_attempts {
+            let end_state = self.end_state(code);
+            return NextStep::Ended(end_state);
         }
-        NextStep::Again { flow: self.turn::<Admitted>(), plan }
+        NextStep::Again { flow: self.into_state::<Admitted>(), plan }
     }
 }
--- a/crates/flow/src/splice.rs
+++ b/crates/flow/src/splice.rs
@@ -2,9 +2,9 @@
 
 /// What to do with a piece of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PieceVerdict {
+pub enum ChunkVerdict {
     /// Show it, without its first `skip` tokens (they were shown before).
-    Show {
+    Deliver {
         /// Tokens of the piece that overlap what was shown.
         skip: u64,
     },
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerSplice {
     attempt: u32,
-    shown: u64,
+    delivered: u64,
     whole: bool,
 }
 
@@ -36,31 +36,31 @@
     }
 
     /// Judges a piece of `tokens` tokens that starts at token `start`.
-    pub fn judge(&mut self, attempt: u32, start: u64, tokens: u64) -> PieceVerdict {
+    pub fn judge(&mut self, attempt: u32, start: u64, tokens: u64) -> ChunkVerdict {
         let end = start + tokens;
-        if self.whole || attempt != self.attempt || end <= self.shown {
-            return PieceVerdict::Drop;
+        if self.whole || attempt != self.attempt || end <= self.delivered {
+            return ChunkVerdict::Drop;
         }
-        if start > self.shown {
-            return PieceVerdict::Gap { from: self.shown };
+        if start > self.delivered {
+            return ChunkVerdict::Gap { from: self.delivered };
         }
-        let skip = self.shown - start;
-        self.shown = end;
-        PieceVerdict::Show { skip }
+        let skip = self.delivered - start;
+        self.delivered = end;
+        ChunkVerdict::Deliver { skip }
     }
 
     /// Takes a finish marker of `attempt` that closes an answer of `total` tokens. Whole only if
     /// every token was shown.
     pub fn finish(&mut self, attempt: u32, total: u64) -> bool {
-        if attempt == self.attempt && total == self.shown {
+        if attempt == self.attempt && total == self.delivered {
             self.whole = true;
         }
         self.whole
     }
 
     /// Tokens shown.
-    pub fn shown(&self) -> u64 {
-        self.shown
+    pub fn delivered(&self) -> u64 {
+        self.delivered
     }
 
     /// Whether the answer is whole.
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -405,7 +405,7 @@
             let slack = f64::from(bounds.retry_slack) / f64::from(self.process_count());
             RetryBudget::new(BudgetSettings {
                 earned_per_mille: (bounds.retry_ratio * BUDGET_PART * 1000.0) as u32,
-                most_kept: (slack * BUDGET_PART) as u32,
+                max_stored: (slack * BUDGET_PART) as u32,
                 ..BudgetSettings::default()
             })
         });
--- a/tests/all/arbitrary.rs
+++ b/tests/all/arbitrary.rs
@@ -4,7 +4,7 @@
 use arbtest::arbtest;
 use oleandertack::bundle::SignedBundle;
 use oleandertack::edge::sse::{AnswerEvent, EventReader};
-use oleandertack::flow::{AnswerSplice, PieceVerdict};
+use oleandertack::flow::{AnswerSplice, ChunkVerdict};
 use oleandertack::kind::chat::{PromptHasher, read_chat_head};
 use oleandertack::kind::ident::{uuid_v7_millis, write_uuid_v7};
 use oleandertack::wire::{PeerBody, decode_frame, encode_frame};
@@ -122,7 +122,7 @@
             }
             let of = u.int_in_range(0..=attempt)?;
             let (start, tokens) = (u.int_in_range(0..=12u64)?, u.int_in_range(1..=4u64)?);
-            if let PieceVerdict::Show { skip } = splice.judge(of, start, tokens) {
+            if let ChunkVerdict::Deliver { skip } = splice.judge(of, start, tokens) {
                 shown.extend((start + skip)..(start + tokens));
             }
         }
--- a/tests/all/flow.rs
+++ b/tests/all/flow.rs
@@ -1,20 +1,20 @@
 //! The life of a request: what may be said and done after each failure.
 
 use oleandertack::flow::{
-    Admitted, CutPlan, EndState, FlowSpec, NextStep, PieceVerdict, Received, RequestFlow,
+    Admitted, ChunkVerdict, EndState, NextStep, Received, RequestFlow, RequestSpec, RetryPlan,
 };
 use oleandertack::kind::{ClockTime, InstanceId, RequestId, ResultCode};
 
 const NOW: ClockTime = ClockTime(1000);
 const LATE: ClockTime = ClockTime(100_000);
 
-fn spec(idempotent: bool) -> FlowSpec {
-    FlowSpec {
+fn spec(idempotent: bool) -> RequestSpec {
+    RequestSpec {
         id: RequestId::from("r1"),
         idempotent,
         resumable: idempotent,
         deadline: ClockTime(50_000),
-        most_attempts: 3,
+        max_attempts: 3,
     }
 }
 
@@ -37,21 +37,21 @@
 }
 
 #[test]
-fn a_batch_code_whose_connection_broke_after_the_write_began_is_not_sent_again() {
+fn an_unsafe_request_is_not_retried_if_its_connection_broke_after_the_write_began() {
     // The caller sees "uncertain". The entry begins to write, the connection breaks, no answer
     // comes. The endpoint may have issued the code: another attempt could issue a second one.
-    let running = admitted(false).place(endpoint()).write_begins();
+    let running = admitted(false).place(endpoint()).begin_write();
 
-    let step = running.cut(NOW, true);
+    let step = running.connection_lost(NOW, true);
 
-    assert!(matches!(step, NextStep::Ended(EndState::Doubtful(ResultCode::Uncertain))));
+    assert!(matches!(step, NextStep::Ended(EndState::Uncertain(ResultCode::Uncertain))));
 }
 
 #[test]
-fn a_batch_code_that_the_endpoint_refused_before_running_is_sent_to_another() {
+fn an_unsafe_request_that_the_endpoint_refused_unrun_is_sent_to_another() {
     // The caller sees its code. The first endpoint says itself that it did not run the call, so
     // the bytes that left are no doubt any more.
-    let running = admitted(false).place(endpoint()).write_begins();
+    let running = admitted(false).place(endpoint()).begin_write();
 
     let step = running.refused_by_endpoint(NOW);
 
@@ -59,87 +59,93 @@
 }
 
 #[test]
-fn a_refusal_after_a_doubt_does_not_say_not_run() {
+fn a_refusal_after_an_uncertain_attempt_does_not_say_not_run() {
     // The caller sees "uncertain". The first endpoint breaks off and may have run the request, the
     // second refuses it. "Not run" would be about the second only, and false of the first.
-    let running = admitted(true).place(endpoint()).write_begins();
-    let NextStep::Again { flow, .. } = running.cut(NOW, false) else { panic!("may run twice") };
-    let running = flow.place(endpoint()).write_begins();
+    let running = admitted(true).place(endpoint()).begin_write();
+    let NextStep::Again { flow, .. } = running.connection_lost(NOW, false) else {
+        panic!("may run twice")
+    };
+    let running = flow.place(endpoint()).begin_write();
     let NextStep::Again { flow, .. } = running.refused_by_endpoint(NOW) else { panic!("again") };
 
-    let ending = flow.give_up(ResultCode::NoEndpoint);
+    let end_state = flow.give_up(ResultCode::NoEndpoint);
 
-    assert_eq!(ending, EndState::Doubtful(ResultCode::Uncertain));
+    assert_eq!(end_state, EndState::Uncertain(ResultCode::Uncertain));
 }
 
 #[test]
-fn a_failed_connection_leaves_no_doubt() {
+fn a_failed_connection_counts_as_not_run() {
     let placed = admitted(false).place(endpoint());
 
     let step = placed.connect_failed(NOW);
 
     let NextStep::Again { flow, .. } = step else { panic!("nothing left, so it may try again") };
-    let ending = flow.give_up(ResultCode::NoEndpoint);
-    assert_eq!(ending, EndState::Refused(ResultCode::NoEndpoint));
+    let end_state = flow.give_up(ResultCode::NoEndpoint);
+    assert_eq!(end_state, EndState::Refused(ResultCode::NoEndpoint));
 }
 
 #[test]
-fn a_cut_stream_is_first_asked_for_where_it_stood() {
+fn a_broken_stream_is_first_resumed_at_the_same_endpoint() {
     // The caller sees one stream. The connection to a living engine breaks after three tokens; the
     // stream is asked for from the fourth. Only when that fails too is it run elsewhere.
-    let mut running = admitted(true).place(endpoint()).write_begins();
-    running.piece(0, 3);
+    let mut running = admitted(true).place(endpoint()).begin_write();
+    running.take_chunk(0, 3);
 
-    let NextStep::Again { flow, plan } = running.cut(NOW, true) else { panic!("resumable") };
-    assert_eq!(plan, CutPlan::ResumeSame);
-    let running = flow.place(endpoint()).write_begins();
-    let NextStep::Again { flow, plan } = running.cut(NOW, true) else { panic!("rerun") };
+    let NextStep::Again { flow, plan } = running.connection_lost(NOW, true) else {
+        panic!("resumable")
+    };
+    assert_eq!(plan, RetryPlan::ResumeSame);
+    let running = flow.place(endpoint()).begin_write();
+    let NextStep::Again { flow, plan } = running.connection_lost(NOW, true) else {
+        panic!("rerun")
+    };
 
-    assert_eq!(plan, CutPlan::RerunElsewhere);
-    assert_eq!(flow.shown(), 3);
+    assert_eq!(plan, RetryPlan::RerunElsewhere);
+    assert_eq!(flow.delivered(), 3);
 }
 
 #[test]
-fn late_frames_overlaps_and_gaps_do_not_reach_the_caller() {
+fn late_overlapping_and_missing_chunks_do_not_reach_the_caller() {
     // The caller sees each token once and in order. After a rerun the engine repeats a token that
     // was shown, then a frame gets lost on the way.
-    let mut running = admitted(true).place(endpoint()).write_begins();
+    let mut running = admitted(true).place(endpoint()).begin_write();
 
-    assert_eq!(running.piece(0, 2), PieceVerdict::Show { skip: 0 });
-    assert_eq!(running.piece(1, 2), PieceVerdict::Show { skip: 1 });
-    assert_eq!(running.piece(0, 3), PieceVerdict::Drop);
-    assert_eq!(running.piece(4, 1), PieceVerdict::Gap { from: 3 });
+    assert_eq!(running.take_chunk(0, 2), ChunkVerdict::Deliver { skip: 0 });
+    assert_eq!(running.take_chunk(1, 2), ChunkVerdict::Deliver { skip: 1 });
+    assert_eq!(running.take_chunk(0, 3), ChunkVerdict::Drop);
+    assert_eq!(running.take_chunk(4, 1), ChunkVerdict::Gap { from: 3 });
 }
 
 #[test]
-fn an_answer_that_lacks_tokens_is_not_whole() {
-    let mut running = admitted(true).place(endpoint()).write_begins();
-    running.piece(0, 2);
+fn an_answer_with_missing_tokens_is_not_complete() {
+    let mut running = admitted(true).place(endpoint()).begin_write();
+    running.take_chunk(0, 2);
 
     assert!(!running.finish(3));
     assert!(running.finish(2));
 }
 
 #[test]
-fn a_stream_that_gets_on_is_not_given_up_however_often_it_is_cut() {
+fn a_stream_that_makes_progress_is_retried_without_limit() {
     // The caller sees one whole answer. A bad link cuts the stream after each token; it is asked
     // for again each time. A fixed number of attempts once gave up accepted streams.
     let mut flow = admitted(true);
     for token in 0..50 {
-        let mut running = flow.place(endpoint()).write_begins();
-        running.piece(token, 1);
-        let NextStep::Again { flow: next, plan } = running.cut(NOW, true) else {
+        let mut running = flow.place(endpoint()).begin_write();
+        running.take_chunk(token, 1);
+        let NextStep::Again { flow: next, plan } = running.connection_lost(NOW, true) else {
             panic!("given up after {token} tokens")
         };
-        assert_eq!(plan, CutPlan::ResumeSame);
+        assert_eq!(plan, RetryPlan::ResumeSame);
         flow = next;
     }
 
-    assert_eq!(flow.shown(), 50);
+    assert_eq!(flow.delivered(), 50);
 }
 
 #[test]
-fn attempts_that_bring_nothing_are_counted() {
+fn attempts_without_progress_are_limited() {
     let mut flow = admitted(true);
     for _ in 0..2 {
         let NextStep::Again { flow: next, .. } = flow.place(endpoint()).connect_failed(NOW) else {
@@ -154,9 +160,9 @@
 }
 
 /// Walks every sequence of events up to `depth` and checks each ending against the facts.
-fn walk(flow: RequestFlow<Admitted>, ran: bool, depth: u32, endings: &mut u32) {
+fn walk(flow: RequestFlow<Admitted>, ran: bool, depth: u32, end_states: &mut u32) {
     if depth == 0 {
-        judge(flow.give_up(ResultCode::NoEndpoint), ran, endings);
+        judge(flow.give_up(ResultCode::NoEndpoint), ran, end_states);
         return;
     }
     for event in 0..5 {
@@ -164,17 +170,17 @@
         let placed = again.place(endpoint());
         let (step, ran_now) = match event {
             0 => (placed.connect_failed(NOW), false),
-            1 => (placed.write_begins().refused_by_endpoint(NOW), false),
-            2 => (placed.write_begins().cut(NOW, true), true),
-            3 => (placed.write_begins().cut(LATE, false), true),
-            _ => (NextStep::Ended(placed.write_begins().stop(ResultCode::DeadlinePassed)), true),
+            1 => (placed.begin_write().refused_by_endpoint(NOW), false),
+            2 => (placed.begin_write().connection_lost(NOW, true), true),
+            3 => (placed.begin_write().connection_lost(LATE, false), true),
+            _ => (NextStep::Ended(placed.begin_write().stop(ResultCode::DeadlinePassed)), true),
         };
         let ran = ran || ran_now;
         match step {
-            NextStep::Ended(ending) => judge(ending, ran, endings),
+            NextStep::Ended(end_state) => judge(end_state, ran, end_states),
             NextStep::Again { flow: next, .. } => {
                 assert!(!ran || next.spec().idempotent, "sent again past a doubt");
-                walk(next, ran, depth - 1, endings);
+                walk(next, ran, depth - 1, end_states);
             }
         }
     }
@@ -190,24 +196,24 @@
     fresh.admit(NOW).expect("before its deadline")
 }
 
-fn judge(ending: EndState, ran: bool, endings: &mut u32) {
-    *endings += 1;
-    if let EndState::Refused(code) = ending {
+fn judge(end_state: EndState, ran: bool, end_states: &mut u32) {
+    *end_states += 1;
+    if let EndState::Refused(code) = end_state {
         assert!(code.says_not_run());
         assert!(!ran, "{code} was said of a request that may have run");
     }
-    if let EndState::Doubtful(code) = ending {
+    if let EndState::Uncertain(code) = end_state {
         assert!(!code.says_not_run(), "{code} is no doubt");
     }
 }
 
 #[test]
-fn not_run_is_true_and_nothing_is_repeated_past_a_doubt_in_every_sequence_of_events() {
+fn not_run_is_true_and_no_unsafe_request_is_retried_in_every_sequence_of_events() {
     for idempotent in [true, false] {
-        let mut endings = 0;
+        let mut end_states = 0;
 
-        walk(admitted(idempotent), false, 5, &mut endings);
+        walk(admitted(idempotent), false, 5, &mut end_states);
 
-        assert!(endings > 100, "the walk reached only {endings} endings");
+        assert!(end_states > 100, "the walk reached only {end_states} endings");
     }
 }
