--- a/crates/flow/src/budget.rs
+++ b/crates/flow/src/budget.rs
@@ -1,17 +1,17 @@
-//! One retry budget a service, so that retries cannot multiply an overload.
+//! Retry budget of a service, which keeps retries from amplifying an overload.
 
 use oleander_kind::{ClockTime, TimeSpan};
 
-/// How many retries a service's traffic may cause.
+/// Limits on the retries of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetSettings {
-    /// Retries earned by each first attempt, in thousandths.
+    /// Retries added to the budget by each first attempt, in thousandths.
     pub earned_per_mille: u32,
-    /// The most retries kept in store.
+    /// Most retries that the budget holds.
     pub max_stored: u32,
-    /// The first pause before a retry.
+    /// Upper bound of the backoff before the first retry; doubled for each further one.
     pub base_backoff: TimeSpan,
-    /// The longest pause before a retry.
+    /// Longest backoff before a retry.
     pub max_backoff: TimeSpan,
 }
 
@@ -26,11 +26,11 @@
     }
 }
 
-/// The budget itself: each first attempt earns a fraction of a retry, each retry spends one.
+/// A retry budget: each first attempt adds a fraction of a retry, and each retry takes one.
 ///
-/// Without it, endpoints that refuse under load get every refused request again at once, and the
-/// overload outlives its cause (a metastable failure). With it retries stay below a fixed share of
-/// first attempts, so the load falls when the demand falls.
+/// Without a budget, endpoints that refuse requests under load receive all of them again at once, and the
+/// overload outlasts its cause (a metastable failure). With a budget, retries stay below a fixed fraction of
+/// the first attempts, so that the load falls when the demand falls.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: BudgetSettings,
@@ -40,20 +40,20 @@
 const PER_RETRY: u64 = 1000;
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(settings: BudgetSettings) -> Self {
         let stored_per_mille = u64::from(settings.max_stored) * PER_RETRY;
         RetryBudget { settings, stored_per_mille }
     }
 
-    /// Counts a first attempt.
+    /// Adds the fraction of a retry that a first attempt earns.
     pub fn earn(&mut self) {
         let most = u64::from(self.settings.max_stored) * PER_RETRY;
         self.stored_per_mille =
             (self.stored_per_mille + u64::from(self.settings.earned_per_mille)).min(most);
     }
 
-    /// Takes one retry out of the budget, if there is one.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn spend(&mut self) -> bool {
         if self.stored_per_mille < PER_RETRY {
             return false;
@@ -62,20 +62,20 @@
         true
     }
 
-    /// Whole retries left.
+    /// Number of whole retries left.
     pub fn left(&self) -> u64 {
         self.stored_per_mille / PER_RETRY
     }
 
-    /// The pause before retry number `retry` (from 0), with full jitter from `random`: all callers
-    /// of a lost endpoint would otherwise come back in the same millisecond.
+    /// Backoff before retry number `retry` (from 0), with full jitter from `random`: otherwise all requests of
+    /// a lost endpoint would be retried in the same millisecond.
     pub fn backoff(&self, retry: u32, random: u64) -> TimeSpan {
         let doubled = self.settings.base_backoff.0 << retry.min(16);
         let ceiling = doubled.min(self.settings.max_backoff.0).max(1);
         TimeSpan(random % (ceiling + 1))
     }
 
-    /// Whether a pause of `backoff` still leaves time before `deadline`.
+    /// Whether a retry after `backoff` starts before `deadline`.
     pub fn in_time(&self, now: ClockTime, backoff: TimeSpan, deadline: ClockTime) -> bool {
         now + backoff < deadline
     }
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,8 +1,9 @@
-//! The life of one request, as pure decisions.
+//! State machine of one request, without I/O: decides on retries and on the final result.
 //!
-//! Every answer a caller gets and every retry follows from three recorded facts of each attempt:
-//! *may a byte have left*, *may it have run*, *is the answer whole*. The states are types, so that
-//! "send" cannot be called before "admit", and "not run" cannot be said once a byte has left.
+//! Each decision follows from three facts that are recorded for every attempt: whether a byte of the request
+//! may have been sent, whether an endpoint may have run it, and whether the answer is complete. The states
+//! are types, so that a request cannot be sent before it is admitted, and cannot be reported as "not run"
+//! after a byte may have been sent.
 
 pub mod budget;
 pub mod life;
--- a/crates/flow/src/life.rs
+++ b/crates/flow/src/life.rs
@@ -1,67 +1,67 @@
-//! The states of a request and the steps between them.
+//! The states of a request and the transitions between them.
 
 use crate::splice::{AnswerSplice, ChunkVerdict};
 use oleander_kind::{ClockTime, InstanceId, RequestId, ResultCode};
 use std::marker::PhantomData;
 
-/// What a request is, as far as its life depends on it.
+/// Properties of a request that decide how it may be retried.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// Its id.
+    /// Request id.
     pub id: RequestId,
-    /// Whether running it twice does no harm. Model streams count as idempotent: a rerun goes on
-    /// from the shown tokens.
+    /// Whether the request may run twice. Model streams count as idempotent: a rerun continues after the
+    /// delivered tokens.
     pub idempotent: bool,
-    /// Whether the endpoint can resume a cut stream by offset.
+    /// Whether the endpoint can resume a broken stream at an offset.
     pub resumable: bool,
-    /// Monotonic time by which the caller wants the answer.
+    /// Deadline of the caller, as monotonic time.
     pub deadline: ClockTime,
-    /// The most attempts in a row that bring no token, the first included. An attempt that shows
-    /// something starts the count anew: a stream that gets on is never given up.
+    /// Most consecutive attempts that deliver no token, including the first. An attempt that delivers a token
+    /// resets the count: a stream that makes progress is never given up.
     pub max_attempts: u32,
 }
 
-/// The recorded facts of all attempts so far, joined: a fact once true stays true.
+/// Facts recorded over all attempts so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptFacts {
-    /// A byte of the request may have left for an endpoint that did not refuse it since.
+    /// A byte of the request may have been sent to an endpoint that did not refuse the request afterwards.
     pub may_have_left: bool,
-    /// An endpoint may have run it.
+    /// An endpoint may have run the request.
     pub may_have_run: bool,
-    /// The answer is whole.
+    /// The answer is complete.
     pub whole: bool,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndState {
-    /// The whole answer was handed over.
+    /// The complete answer was delivered.
     Complete,
-    /// It did not run, and the code says so.
+    /// The request did not run, and the code says so.
     Refused(ResultCode),
-    /// It may have run; the code tells what is known.
+    /// The request may have run; the code says what is known.
     Uncertain(ResultCode),
 }
 
-/// How a cut stream goes on.
+/// How a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPlan {
-    /// Ask the same endpoint for the stream from the shown offset.
+    /// Resume the stream at the same endpoint after the delivered tokens.
     ResumeSame,
-    /// Run elsewhere, with the shown tokens as the start of the answer.
+    /// Run the request at another endpoint, with the delivered tokens as the start of the answer.
     RerunElsewhere,
 }
 
-/// The request was read; nothing is decided.
+/// State: the request was read and nothing is decided.
 #[derive(Debug)]
 pub struct Received;
-/// The request is accepted; no attempt is open.
+/// State: the request is accepted and no attempt is in progress.
 #[derive(Debug)]
 pub struct Admitted;
-/// An endpoint is chosen; no byte has left.
+/// State: an endpoint is chosen and no byte has been sent to it.
 #[derive(Debug)]
 pub struct Placed;
-/// A byte may have left.
+/// State: a byte may have been sent to the chosen endpoint.
 #[derive(Debug)]
 pub struct Running;
 
@@ -81,39 +81,39 @@
 /// What follows a failed attempt.
 #[derive(Debug)]
 pub enum NextStep {
-    /// Choose an endpoint and try again, after the budget allowed it.
+    /// Choose an endpoint and retry, if the retry budget allows it.
     Again {
-        /// The request, ready to be placed.
+        /// The request, ready for the choice of an endpoint.
         flow: RequestFlow<Admitted>,
-        /// Why another attempt is safe.
+        /// How the request is retried.
         plan: RetryPlan,
     },
-    /// Answer the caller.
+    /// Answer the caller with this result.
     Ended(EndState),
 }
 
 impl<S> RequestFlow<S> {
-    /// What the request is.
+    /// Properties of the request.
     pub fn spec(&self) -> &RequestSpec {
         &self.spec
     }
 
-    /// The facts recorded so far.
+    /// Facts recorded so far.
     pub fn facts(&self) -> AttemptFacts {
         self.facts
     }
 
-    /// Tokens shown so far.
+    /// Number of tokens delivered to the caller so far.
     pub fn delivered(&self) -> u64 {
         self.splice.delivered()
     }
 
-    /// The endpoint of the newest attempt.
+    /// Endpoint of the latest attempt.
     pub fn endpoint(&self) -> Option<&InstanceId> {
         self.endpoint.as_ref()
     }
 
-    /// The number of the newest attempt, from 1.
+    /// Number of the latest attempt, from 1.
     pub fn attempt(&self) -> u32 {
         self.attempts
     }
@@ -131,9 +131,9 @@
         }
     }
 
-    /// The true ending for a request that goes no further because of `code`. A code that says
-    /// "not run" is replaced once the facts no longer bear it out: a caller that believed it would
-    /// repeat a batch code that was already printed.
+    /// The end state of a request that is given up because of `code`. A code that says "not run" is replaced
+    /// if the request may have run: a caller that believed it would send an unsafe request twice, such as one
+    /// for a batch code that is already printed.
     fn end_state(&self, code: ResultCode) -> EndState {
         let untouched = !self.facts.may_have_left && !self.facts.may_have_run;
         match (code.says_not_run(), untouched) {
@@ -151,7 +151,7 @@
 }
 
 impl RequestFlow<Received> {
-    /// A request as it was read.
+    /// Creates the state of a request that was read.
     pub fn new(spec: RequestSpec) -> Self {
         RequestFlow {
             spec,
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Accepts it, unless its deadline has passed.
+    /// Accepts the request, unless its deadline has passed.
     ///
     /// # Errors
     /// [`ResultCode::DeadlineNotRun`] if `now` is at or past the deadline.
@@ -176,7 +176,7 @@
         Ok(self.into_state::<Admitted>())
     }
 
-    /// Takes over a request that another process admitted: it may have run, and `delivered` tokens may
+    /// Takes over a request that another process admitted: it may have run, and up to `delivered` tokens may
     /// have reached the caller.
     pub fn adopt(self, endpoint: InstanceId, delivered: u64) -> RequestFlow<Admitted> {
         let mut flow = self.into_state::<Admitted>();
@@ -191,7 +191,7 @@
 }
 
 impl RequestFlow<Admitted> {
-    /// Chooses an endpoint for the next attempt.
+    /// Starts the next attempt at `endpoint`.
     pub fn place(mut self, endpoint: InstanceId) -> RequestFlow<Placed> {
         self.attempts += 1;
         self.stalled_attempts += 1;
@@ -200,23 +200,23 @@
         self.into_state::<Placed>()
     }
 
-    /// Gives up before a further attempt.
+    /// Ends the request without a further attempt.
     pub fn give_up(self, code: ResultCode) -> EndState {
         self.end_state(code)
     }
 }
 
 impl RequestFlow<Placed> {
-    /// The connection stands and the write begins: from here on a byte may have left.
+    /// The connection is established and the write begins: from now on a byte may have been sent.
     ///
-    /// This is recorded before the write is handed to the socket, not after it succeeded. A write
-    /// that fails half way has still let bytes out, and an endpoint may act on them.
+    /// This is recorded before the write and not after it succeeded, because a write that fails midway may
+    /// have sent bytes on which the endpoint acts.
     pub fn begin_write(mut self) -> RequestFlow<Running> {
         self.facts.may_have_left = true;
         self.into_state::<Running>()
     }
 
-    /// The connection could not be made. No byte left, so any request may try again.
+    /// The connection could not be established. No byte was sent, so that any request may be retried.
     pub fn connect_failed(self, now: ClockTime) -> NextStep {
         self.into_state::<Running>().retry_or_end(
             now,
@@ -227,14 +227,14 @@
 }
 
 impl RequestFlow<Running> {
-    /// The endpoint said itself that it refused before running. Its bytes no longer count, unless
-    /// an earlier attempt left a doubt.
+    /// The endpoint answered that it refused the request without running it. The bytes sent to it no longer
+    /// count, unless an earlier attempt may have run.
     pub fn refused_by_endpoint(mut self, now: ClockTime) -> NextStep {
         self.facts.may_have_left = self.facts.may_have_run;
         self.retry_or_end(now, ResultCode::BudgetSpent, RetryPlan::RerunElsewhere)
     }
 
-    /// A piece of the answer arrived.
+    /// A chunk of `tokens` tokens of the answer arrived, starting at token `start`.
     pub fn take_chunk(&mut self, start: u64, tokens: u64) -> ChunkVerdict {
         self.facts.may_have_run = true;
         let verdict = self.splice.judge(self.attempts, start, tokens);
@@ -245,17 +245,17 @@
         verdict
     }
 
-    /// The finish marker arrived for an answer of `total` tokens. Returns whether it is whole.
+    /// The finish marker arrived for an answer of `total` tokens. Returns whether the answer is complete.
     pub fn finish(&mut self, total: u64) -> bool {
         self.facts.may_have_run = true;
         self.facts.whole = self.splice.finish(self.attempts, total);
         self.facts.whole
     }
 
-    /// The connection broke, or the endpoint is about to end, before the answer was whole.
+    /// The connection broke, or the endpoint is about to shut down, before the answer was complete.
     ///
-    /// A stream is first asked for where it stood (no token is computed again); only when that
-    /// failed once for this endpoint is it run elsewhere. A non-idempotent request ends in doubt.
+    /// A stream is first resumed at the same endpoint, which computes no token again. If that failed once
+    /// for this endpoint, the request runs at another one. A non-idempotent request ends as uncertain.
     pub fn connection_lost(mut self, now: ClockTime, endpoint_lives: bool) -> NextStep {
         self.facts.may_have_run = true;
         if self.spec.resumable && endpoint_lives && self.resumes == 0 {
@@ -266,7 +266,7 @@
         self.retry_or_end(now, ResultCode::Uncertain, RetryPlan::RerunElsewhere)
     }
 
-    /// The caller went away, or its deadline passed.
+    /// The caller disconnected, or its deadline passed.
     pub fn stop(self, code: ResultCode) -> EndState {
         if self.facts.whole {
             return EndState::Complete;
@@ -282,8 +282,8 @@
             let end_state = self.end_state(ResultCode::DeadlinePassed);
             return NextStep::Ended(end_state);
         }
-        // The rule that keeps a batch code from being issued twice: past a doubt, only a request
-        // that may run twice is sent again.
+        // A request that may have run is retried only if it may run twice. This keeps a batch code from being
+        // issued twice.
         let uncertain = self.facts.may_have_left || self.facts.may_have_run;
         if uncertain && !self.spec.idempotent {
             return NextStep::Ended(EndState::Uncertain(ResultCode::Uncertain));
--- a/crates/flow/src/splice.rs
+++ b/crates/flow/src/splice.rs
@@ -1,27 +1,27 @@
-//! Joining the pieces of several attempts into one answer.
+//! Joins the chunks of several attempts into one answer.
 
-/// What to do with a piece of an answer.
+/// What to do with a chunk of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChunkVerdict {
-    /// Show it, without its first `skip` tokens (they were shown before).
+    /// Deliver it without its first `skip` tokens, which were delivered before.
     Deliver {
-        /// Tokens of the piece that overlap what was shown.
+        /// Number of tokens of the chunk that were delivered before.
         skip: u64,
     },
-    /// Drop it: it belongs to an older attempt, or all of it was shown.
+    /// Drop it: it belongs to an older attempt, or all of it was delivered before.
     Drop,
-    /// Tokens are missing between `from` and the piece; fetch them first.
+    /// Tokens are missing between `from` and the chunk and must be fetched first.
     Gap {
-        /// The first missing token.
+        /// Index of the first missing token.
         from: u64,
     },
 }
 
-/// Keeps the shown text a prefix of the final text.
+/// Keeps the delivered tokens a prefix of the complete answer.
 ///
-/// A cut stream that is resumed elsewhere leaves late frames of the old attempt on the way. Shown,
-/// they would double or cross tokens in the caller's answer. A frame therefore carries its attempt
-/// and offset: only the newest attempt is shown, an overlap is cut, a gap is fetched.
+/// After a broken stream is resumed elsewhere, chunks of the old attempt may still arrive. They would
+/// duplicate or reorder tokens in the caller's answer. Each chunk therefore carries its attempt and offset:
+/// only chunks of the latest attempt are delivered, overlaps are skipped, and gaps are fetched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerSplice {
     attempt: u32,
@@ -30,12 +30,12 @@
 }
 
 impl AnswerSplice {
-    /// Starts a newer attempt; frames of older ones are dropped from now on.
+    /// Starts a newer attempt; chunks of older ones are dropped from now on.
     pub fn begin_attempt(&mut self, attempt: u32) {
         self.attempt = self.attempt.max(attempt);
     }
 
-    /// Judges a piece of `tokens` tokens that starts at token `start`.
+    /// Decides what to do with a chunk of `tokens` tokens that starts at token `start`.
     pub fn judge(&mut self, attempt: u32, start: u64, tokens: u64) -> ChunkVerdict {
         let end = start + tokens;
         if self.whole || attempt != self.attempt || end <= self.delivered {
@@ -49,8 +49,8 @@
         ChunkVerdict::Deliver { skip }
     }
 
-    /// Takes a finish marker of `attempt` that closes an answer of `total` tokens. Whole only if
-    /// every token was shown.
+    /// Handles the finish marker of `attempt` for an answer of `total` tokens. The answer is complete only if
+    /// all tokens were delivered.
     pub fn finish(&mut self, attempt: u32, total: u64) -> bool {
         if attempt == self.attempt && total == self.delivered {
             self.whole = true;
@@ -58,12 +58,12 @@
         self.whole
     }
 
-    /// Tokens shown.
+    /// Number of tokens delivered.
     pub fn delivered(&self) -> u64 {
         self.delivered
     }
 
-    /// Whether the answer is whole.
+    /// Whether the answer is complete.
     pub fn is_whole(&self) -> bool {
         self.whole
     }
--- a/tests/all/flow.rs
+++ b/tests/all/flow.rs
@@ -1,4 +1,4 @@
-//! The life of a request: what may be said and done after each failure.
+//! The states of a request: which results and retries are allowed after each failure.
 
 use oleandertack::flow::{
     Admitted, ChunkVerdict, EndState, NextStep, Received, RequestFlow, RequestSpec, RetryPlan,
@@ -38,8 +38,8 @@
 
 #[test]
 fn an_unsafe_request_is_not_retried_if_its_connection_broke_after_the_write_began() {
-    // The caller sees "uncertain". The entry begins to write, the connection breaks, no answer
-    // comes. The endpoint may have issued the code: another attempt could issue a second one.
+    // The connection breaks after the write began and before an answer arrived. The endpoint may have run
+    // the request, so a retry could run it twice (issue a second batch code).
     let running = admitted(false).place(endpoint()).begin_write();
 
     let step = running.connection_lost(NOW, true);
@@ -49,8 +49,8 @@
 
 #[test]
 fn an_unsafe_request_that_the_endpoint_refused_unrun_is_sent_to_another() {
-    // The caller sees its code. The first endpoint says itself that it did not run the call, so
-    // the bytes that left are no doubt any more.
+    // The first endpoint answers that it did not run the request. The bytes sent to it must not prevent a
+    // retry at another endpoint.
     let running = admitted(false).place(endpoint()).begin_write();
 
     let step = running.refused_by_endpoint(NOW);
@@ -60,14 +60,16 @@
 
 #[test]
 fn a_refusal_after_an_uncertain_attempt_does_not_say_not_run() {
-    // The caller sees "uncertain". The first endpoint breaks off and may have run the request, the
-    // second refuses it. "Not run" would be about the second only, and false of the first.
+    // The first endpoint disconnects and may have run the request; the second refuses it. "Not run" would be
+    // true of the second attempt only, so the result must be uncertain.
     let running = admitted(true).place(endpoint()).begin_write();
     let NextStep::Again { flow, .. } = running.connection_lost(NOW, false) else {
-        panic!("may run twice")
+        panic!("an idempotent request is retried")
     };
     let running = flow.place(endpoint()).begin_write();
-    let NextStep::Again { flow, .. } = running.refused_by_endpoint(NOW) else { panic!("again") };
+    let NextStep::Again { flow, .. } = running.refused_by_endpoint(NOW) else {
+        panic!("a refused request is retried")
+    };
 
     let end_state = flow.give_up(ResultCode::NoEndpoint);
 
@@ -80,15 +82,17 @@
 
     let step = placed.connect_failed(NOW);
 
-    let NextStep::Again { flow, .. } = step else { panic!("nothing left, so it may try again") };
+    let NextStep::Again { flow, .. } = step else {
+        panic!("no byte was sent, so the request is retried")
+    };
     let end_state = flow.give_up(ResultCode::NoEndpoint);
     assert_eq!(end_state, EndState::Refused(ResultCode::NoEndpoint));
 }
 
 #[test]
 fn a_broken_stream_is_first_resumed_at_the_same_endpoint() {
-    // The caller sees one stream. The connection to a living engine breaks after three tokens; the
-    // stream is asked for from the fourth. Only when that fails too is it run elsewhere.
+    // The connection to a running engine breaks after three tokens. The stream is resumed there from the
+    // fourth token. Only if that fails too does the request run at another endpoint.
     let mut running = admitted(true).place(endpoint()).begin_write();
     running.take_chunk(0, 3);
 
@@ -107,8 +111,8 @@
 
 #[test]
 fn late_overlapping_and_missing_chunks_do_not_reach_the_caller() {
-    // The caller sees each token once and in order. After a rerun the engine repeats a token that
-    // was shown, then a frame gets lost on the way.
+    // The caller must get each token once and in order, although the engine repeats a delivered token after
+    // a rerun and a chunk is lost afterwards.
     let mut running = admitted(true).place(endpoint()).begin_write();
 
     assert_eq!(running.take_chunk(0, 2), ChunkVerdict::Deliver { skip: 0 });
@@ -128,8 +132,8 @@
 
 #[test]
 fn a_stream_that_makes_progress_is_retried_without_limit() {
-    // The caller sees one whole answer. A bad link cuts the stream after each token; it is asked
-    // for again each time. A fixed number of attempts once gave up accepted streams.
+    // A bad link breaks the stream after each token, and it is resumed each time. Guards against a fixed
+    // number of attempts, which gave up accepted streams.
     let mut flow = admitted(true);
     for token in 0..50 {
         let mut running = flow.place(endpoint()).begin_write();
@@ -159,7 +163,7 @@
     assert!(matches!(step, NextStep::Ended(EndState::Refused(ResultCode::NoEndpoint))));
 }
 
-/// Walks every sequence of events up to `depth` and checks each ending against the facts.
+/// Tries every sequence of events up to `depth` and checks each end state against the facts.
 fn walk(flow: RequestFlow<Admitted>, ran: bool, depth: u32, end_states: &mut u32) {
     if depth == 0 {
         judge(flow.give_up(ResultCode::NoEndpoint), ran, end_states);
@@ -179,15 +183,18 @@
         match step {
             NextStep::Ended(end_state) => judge(end_state, ran, end_states),
             NextStep::Again { flow: next, .. } => {
-                assert!(!ran || next.spec().idempotent, "sent again past a doubt");
+                assert!(
+                    !ran || next.spec().idempotent,
+                    "retried an unsafe request that may have run"
+                );
                 walk(next, ran, depth - 1, end_states);
             }
         }
     }
 }
 
-/// A flow with the same facts. Flows cannot be cloned, so that none is used twice; the walk makes
-/// an equal one from the facts.
+/// A flow with the same facts. Flows cannot be cloned, so that none is used twice; this builds an equal one
+/// from the facts.
 fn rebuild(flow: &RequestFlow<Admitted>) -> RequestFlow<Admitted> {
     let fresh = RequestFlow::<Received>::new(flow.spec().clone());
     if flow.facts().may_have_run {
@@ -200,10 +207,10 @@
     *end_states += 1;
     if let EndState::Refused(code) = end_state {
         assert!(code.says_not_run());
-        assert!(!ran, "{code} was said of a request that may have run");
+        assert!(!ran, "{code} was reported for a request that may have run");
     }
     if let EndState::Uncertain(code) = end_state {
-        assert!(!code.says_not_run(), "{code} is no doubt");
+        assert!(!code.says_not_run(), "{code} says not run although the request may have run");
     }
 }
 
