--- a/crates/claim/src/keeper.rs
+++ b/crates/claim/src/keeper.rs
@@ -1,6 +1,6 @@
 //! Keeps one book of claims, as a pure state machine.
 
-use crate::book::{HeadValue, SegmentName, SegmentValue, decode, encode};
+use crate::partition::{HeadValue, SegmentName, SegmentValue, decode, encode};
 use crate::record::{ClaimKey, ClaimRecord};
 use oleander_kind::{ClockTime, ResultCode, TimeSpan};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -11,7 +11,7 @@
     /// How long the first claim of a write waits for others.
     pub linger: TimeSpan,
     /// The time between two writes that this book's share of the store's rate allows.
-    pub pace: TimeSpan,
+    pub write_interval: TimeSpan,
     /// Writes that may be made early, after a quiet time.
     pub burst: u64,
     /// The most claims in one write.
@@ -19,34 +19,34 @@
     /// The most claims waiting; more are refused.
     pub most_waiting: usize,
     /// The head is sealed when it holds this many claims.
-    pub seal_at: usize,
+    pub seal_threshold: usize,
     /// How long keys are remembered, by the time the key itself carries.
-    pub horizon: TimeSpan,
+    pub retention: TimeSpan,
     /// How far a key's time may lie in the future.
-    pub most_ahead: TimeSpan,
+    pub max_future_skew: TimeSpan,
     /// Between a refusal for rate and the next try.
-    pub busy_pause: TimeSpan,
+    pub busy_backoff: TimeSpan,
 }
 
 impl Default for ClaimSettings {
     fn default() -> Self {
         ClaimSettings {
             linger: TimeSpan(0),
-            pace: TimeSpan(16),
+            write_interval: TimeSpan(16),
             burst: 8,
             most_batch: 512,
             most_waiting: 8192,
-            seal_at: 512,
-            horizon: TimeSpan::secs(24 * 3600),
-            most_ahead: TimeSpan::secs(300),
-            busy_pause: TimeSpan(20),
+            seal_threshold: 512,
+            retention: TimeSpan::secs(24 * 3600),
+            max_future_skew: TimeSpan::secs(300),
+            busy_backoff: TimeSpan(20),
         }
     }
 }
 
 /// A request that asks for its claim.
 #[derive(Clone, Debug)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// Names the ask in the answer.
     pub ticket: u64,
     /// What is to be claimed.
@@ -98,7 +98,7 @@
 
 /// What the store said to the newest read or write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimSaid {
+pub enum StoreReply {
     /// The object as read, with its version.
     Read(Option<(u64, Vec<u8>)>),
     /// The write was made; the new version.
@@ -122,7 +122,7 @@
     ReadingSegment(usize),
     Ready,
     WritingHead,
-    WritingSeal(SegmentName),
+    WritingSegment(SegmentName),
     /// Writing a head that counts one more segment and starts empty.
     SwitchingHead,
 }
@@ -134,15 +134,15 @@
 /// sealed segments, so the version check covers them too. A keeper that was paused while another
 /// took over has an old version: its write fails, it reads again and finds the other's claims.
 #[derive(Clone, Debug)]
-pub struct BookKeeper {
+pub struct PartitionKeeper {
     settings: ClaimSettings,
     state: KeeperState,
     version: Option<u64>,
     head: HeadValue,
     known: BTreeMap<ClaimKey, ClaimRecord>,
     loading: Option<HeadValue>,
-    waiting: VecDeque<ClaimAsk>,
-    batch: Vec<ClaimAsk>,
+    waiting: VecDeque<ClaimRequest>,
+    batch: Vec<ClaimRequest>,
     gather_until: Option<ClockTime>,
     /// When the next write would be due if all had come at the book's pace.
     due_at: ClockTime,
@@ -151,10 +151,10 @@
     granted: u64,
 }
 
-impl BookKeeper {
+impl PartitionKeeper {
     /// A keeper that knows nothing yet.
     pub fn new(settings: ClaimSettings) -> Self {
-        BookKeeper {
+        PartitionKeeper {
             settings,
             state: KeeperState::Cold,
             version: None,
@@ -177,7 +177,7 @@
     }
 
     /// Asks that wait for an answer.
-    pub fn asks_open(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.waiting.len() + self.batch.len()
     }
 
@@ -196,25 +196,30 @@
     }
 
     /// Takes an ask. `wall` is wall-clock time, against which the key's age is judged.
-    pub fn ask(&mut self, ask: ClaimAsk, now: ClockTime, wall: ClockTime) -> Vec<ClaimAction> {
-        if let Some(code) = self.key_fault(&ask.record, wall) {
-            return vec![refuse(&ask, code)];
+    pub fn ask(
+        &mut self,
+        request: ClaimRequest,
+        now: ClockTime,
+        wall: ClockTime,
+    ) -> Vec<ClaimAction> {
+        if let Some(code) = self.key_error(&request.record, wall) {
+            return vec![refuse(&request, code)];
         }
         if self.waiting.len() >= self.settings.most_waiting {
-            return vec![refuse(&ask, ResultCode::StoreDown)];
+            return vec![refuse(&request, ResultCode::StoreDown)];
         }
         if self.state == KeeperState::Ready
-            && let Some(answer) = self.answer_known(&ask)
+            && let Some(answer) = self.answer_known(&request)
         {
             return vec![answer];
         }
-        self.waiting.push_back(ask);
+        self.waiting.push_back(request);
         self.tick(now, wall)
     }
 
     /// Lets time pass.
     pub fn tick(&mut self, now: ClockTime, wall: ClockTime) -> Vec<ClaimAction> {
-        let mut actions = self.drop_late(now);
+        let mut actions = self.refuse_expired(now);
         if now < self.pause_until || self.waiting.is_empty() {
             return actions;
         }
@@ -230,31 +235,36 @@
     }
 
     /// Takes what the store said to the newest read or write.
-    pub fn said(&mut self, said: ClaimSaid, now: ClockTime, wall: ClockTime) -> Vec<ClaimAction> {
+    pub fn store_reply(
+        &mut self,
+        reply: StoreReply,
+        now: ClockTime,
+        wall: ClockTime,
+    ) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
-        match (self.state, said) {
-            (KeeperState::ReadingHead, ClaimSaid::Read(found)) => {
-                self.take_head(found, &mut actions);
+        match (self.state, reply) {
+            (KeeperState::ReadingHead, StoreReply::Read(found)) => {
+                self.load_head(found, &mut actions);
             }
-            (KeeperState::ReadingSegment(place), ClaimSaid::Read(found)) => {
-                self.take_segment(place, found, &mut actions);
+            (KeeperState::ReadingSegment(place), StoreReply::Read(found)) => {
+                self.load_segment(place, found, &mut actions);
             }
-            (KeeperState::WritingHead, ClaimSaid::Written(version)) => {
+            (KeeperState::WritingHead, StoreReply::Written(version)) => {
                 self.head_written(version, &mut actions);
                 self.seal_if_full(&mut actions);
             }
-            (KeeperState::WritingSeal(sealed), ClaimSaid::Written(_) | ClaimSaid::Changed) => {
+            (KeeperState::WritingSegment(sealed), StoreReply::Written(_) | StoreReply::Changed) => {
                 self.switch_head(sealed, &mut actions);
             }
-            (KeeperState::WritingSeal(_), ClaimSaid::Unknown) => {
+            (KeeperState::WritingSegment(_), StoreReply::Unknown) => {
                 // Writing it again does no harm.
                 self.write_seal(&mut actions);
             }
-            (KeeperState::SwitchingHead, ClaimSaid::Written(version)) => {
+            (KeeperState::SwitchingHead, StoreReply::Written(version)) => {
                 self.head_switched(version);
             }
-            (_, ClaimSaid::Changed | ClaimSaid::Unknown) => self.start_over(&mut actions),
-            (_, ClaimSaid::Busy) => self.wait_out(now),
+            (_, StoreReply::Changed | StoreReply::Unknown) => self.reload(&mut actions),
+            (_, StoreReply::Busy) => self.back_off(now),
             (_, _) => self.store_failed(&mut actions),
         }
         self.finish_load(&mut actions);
@@ -264,74 +274,74 @@
 
     /// Why the key cannot be claimed, whatever the shard holds. Past the horizon its claim may
     /// have been removed, so that a repeat would look new: it is refused by its own age instead.
-    fn key_fault(&self, record: &ClaimRecord, wall: ClockTime) -> Option<ResultCode> {
-        if record.key_time + self.settings.horizon <= wall {
+    fn key_error(&self, record: &ClaimRecord, wall: ClockTime) -> Option<ResultCode> {
+        if record.key_time + self.settings.retention <= wall {
             return Some(ResultCode::KeyTooOld);
         }
-        if record.key_time > wall + self.settings.most_ahead {
+        if record.key_time > wall + self.settings.max_future_skew {
             return Some(ResultCode::BadIdempotencyKey);
         }
         None
     }
 
-    fn answer_known(&mut self, ask: &ClaimAsk) -> Option<ClaimAction> {
-        let known = self.known.get(&ask.record.key)?;
-        let mine = known.nonce == ask.record.nonce && known.owner == ask.record.owner;
+    fn answer_known(&mut self, request: &ClaimRequest) -> Option<ClaimAction> {
+        let known = self.known.get(&request.record.key)?;
+        let mine = known.nonce == request.record.nonce && known.owner == request.record.owner;
         let verdict = if mine { ClaimVerdict::Granted } else { ClaimVerdict::Held(known.clone()) };
         self.granted += u64::from(mine);
-        Some(ClaimAction::Answer { ticket: ask.ticket, verdict })
+        Some(ClaimAction::Answer { ticket: request.ticket, verdict })
     }
 
-    fn drop_late(&mut self, now: ClockTime) -> Vec<ClaimAction> {
+    fn refuse_expired(&mut self, now: ClockTime) -> Vec<ClaimAction> {
         let (late, waiting): (VecDeque<_>, VecDeque<_>) =
-            self.waiting.drain(..).partition(|ask| ask.deadline <= now);
+            self.waiting.drain(..).partition(|request| request.deadline <= now);
         self.waiting = waiting;
-        late.iter().map(|ask| refuse(ask, ResultCode::StoreDown)).collect()
+        late.iter().map(|request| refuse(request, ResultCode::StoreDown)).collect()
     }
 
     fn gather_or_write(&mut self, now: ClockTime, wall: ClockTime, out: &mut Vec<ClaimAction>) {
         let full = self.waiting.len() >= self.settings.most_batch;
         // Claims gather for as long as the store's rate makes them wait anyway, and no longer: at
         // a quiet time a write goes out at once, near the limit it takes more claims along.
-        let early = TimeSpan(self.settings.pace.0 * self.settings.burst);
+        let early = TimeSpan(self.settings.write_interval.0 * self.settings.burst);
         let paced = self.due_at - early;
         let until = *self.gather_until.get_or_insert((now + self.settings.linger).max(paced));
         if now < until && !(full && now >= paced) {
             return;
         }
         self.gather_until = None;
-        self.due_at = self.due_at.max(now) + self.settings.pace;
+        self.due_at = self.due_at.max(now) + self.settings.write_interval;
         self.write_batch(wall, out);
     }
 
     fn write_batch(&mut self, wall: ClockTime, out: &mut Vec<ClaimAction>) {
         let mut claimed: HashMap<ClaimKey, ClaimRecord> = HashMap::new();
         while self.batch.len() < self.settings.most_batch {
-            let Some(ask) = self.waiting.pop_front() else {
+            let Some(request) = self.waiting.pop_front() else {
                 break;
             };
-            if let Some(answer) = self.answer_known(&ask) {
+            if let Some(answer) = self.answer_known(&request) {
                 out.push(answer);
                 continue;
             }
             // The key may have aged while it waited.
-            if let Some(code) = self.key_fault(&ask.record, wall) {
-                out.push(refuse(&ask, code));
+            if let Some(code) = self.key_error(&request.record, wall) {
+                out.push(refuse(&request, code));
                 continue;
             }
-            if let Some(first) = claimed.get(&ask.record.key) {
+            if let Some(first) = claimed.get(&request.record.key) {
                 let verdict = ClaimVerdict::Held(first.clone());
-                out.push(ClaimAction::Answer { ticket: ask.ticket, verdict });
+                out.push(ClaimAction::Answer { ticket: request.ticket, verdict });
                 continue;
             }
-            claimed.insert(ask.record.key, ask.record.clone());
-            self.batch.push(ask);
+            claimed.insert(request.record.key, request.record.clone());
+            self.batch.push(request);
         }
         if self.batch.is_empty() {
             return;
         }
         let mut head = self.head.clone();
-        head.claims.extend(self.batch.iter().map(|ask| ask.record.clone()));
+        head.claims.extend(self.batch.iter().map(|request| request.record.clone()));
         self.writes += 1;
         self.state = KeeperState::WritingHead;
         out.push(ClaimAction::WriteHead { version: self.version, bytes: encode(&head) });
@@ -340,16 +350,16 @@
     fn head_written(&mut self, version: u64, out: &mut Vec<ClaimAction>) {
         self.version = Some(version);
         self.state = KeeperState::Ready;
-        for ask in std::mem::take(&mut self.batch) {
-            self.known.insert(ask.record.key, ask.record.clone());
-            self.head.claims.push(ask.record);
+        for request in std::mem::take(&mut self.batch) {
+            self.known.insert(request.record.key, request.record.clone());
+            self.head.claims.push(request.record);
             self.granted += 1;
             let verdict = ClaimVerdict::Granted;
-            out.push(ClaimAction::Answer { ticket: ask.ticket, verdict });
+            out.push(ClaimAction::Answer { ticket: request.ticket, verdict });
         }
     }
 
-    fn take_head(&mut self, found: Option<(u64, Vec<u8>)>, out: &mut Vec<ClaimAction>) {
+    fn load_head(&mut self, found: Option<(u64, Vec<u8>)>, out: &mut Vec<ClaimAction>) {
         let (version, head) = match found {
             None => (None, Some(HeadValue::default())),
             Some((version, bytes)) => (Some(version), decode::<HeadValue>(&bytes)),
@@ -364,7 +374,7 @@
         self.loading = Some(head);
     }
 
-    fn take_segment(
+    fn load_segment(
         &mut self,
         place: usize,
         found: Option<(u64, Vec<u8>)>,
@@ -372,7 +382,7 @@
     ) {
         let Some((_, bytes)) = found else {
             // The book is past the horizon and was removed since its head was read.
-            return self.start_over(out);
+            return self.reload(out);
         };
         let Some(segment) = decode::<SegmentValue>(&bytes) else {
             return self.store_failed(out);
@@ -398,16 +408,16 @@
         self.head = head;
         self.state = KeeperState::Ready;
         // Asks whose write had an unknown end find their own nonce here, or wait again.
-        for ask in std::mem::take(&mut self.batch).into_iter().rev() {
-            match self.answer_known(&ask) {
+        for request in std::mem::take(&mut self.batch).into_iter().rev() {
+            match self.answer_known(&request) {
                 Some(answer) => out.push(answer),
-                None => self.waiting.push_front(ask),
+                None => self.waiting.push_front(request),
             }
         }
     }
 
     fn seal_if_full(&mut self, out: &mut Vec<ClaimAction>) {
-        if self.head.claims.len() >= self.settings.seal_at {
+        if self.head.claims.len() >= self.settings.seal_threshold {
             self.write_seal(out);
         }
     }
@@ -417,7 +427,7 @@
     /// since makes it fail.
     fn write_seal(&mut self, out: &mut Vec<ClaimAction>) {
         let (sealed, bytes) = SegmentValue { claims: self.head.claims.clone() }.seal();
-        self.state = KeeperState::WritingSeal(sealed);
+        self.state = KeeperState::WritingSegment(sealed);
         out.push(ClaimAction::WriteSegment { segment: sealed, bytes });
     }
 
@@ -437,34 +447,34 @@
     }
 
     /// The head may have changed: what is known is read again before anything is granted.
-    fn start_over(&mut self, out: &mut Vec<ClaimAction>) {
+    fn reload(&mut self, out: &mut Vec<ClaimAction>) {
         self.state = KeeperState::ReadingHead;
         self.loading = None;
         out.push(ClaimAction::ReadHead);
     }
 
-    fn wait_out(&mut self, now: ClockTime) {
-        self.pause_until = now + self.settings.busy_pause;
-        self.give_batch_back();
-        self.settle_state();
+    fn back_off(&mut self, now: ClockTime) {
+        self.pause_until = now + self.settings.busy_backoff;
+        self.requeue_batch();
+        self.reset_state();
     }
 
     /// The store is down. Nobody waits for it: every ask is refused, truly, because no claim of
     /// these asks can be granted any more: the askers are told not to send.
     fn store_failed(&mut self, out: &mut Vec<ClaimAction>) {
-        self.give_batch_back();
-        self.settle_state();
-        out.extend(self.waiting.drain(..).map(|ask| refuse(&ask, ResultCode::StoreDown)));
+        self.requeue_batch();
+        self.reset_state();
+        out.extend(self.waiting.drain(..).map(|request| refuse(&request, ResultCode::StoreDown)));
     }
 
-    fn give_batch_back(&mut self) {
-        for ask in std::mem::take(&mut self.batch).into_iter().rev() {
-            self.waiting.push_front(ask);
+    fn requeue_batch(&mut self) {
+        for request in std::mem::take(&mut self.batch).into_iter().rev() {
+            self.waiting.push_front(request);
         }
     }
 
     /// After a call that changed nothing: what was known stays known, a load starts over.
-    fn settle_state(&mut self) {
+    fn reset_state(&mut self) {
         self.loading = None;
         self.state = match self.state {
             KeeperState::Cold | KeeperState::ReadingHead | KeeperState::ReadingSegment(_) => {
@@ -475,6 +485,6 @@
     }
 }
 
-fn refuse(ask: &ClaimAsk, code: ResultCode) -> ClaimAction {
-    ClaimAction::Answer { ticket: ask.ticket, verdict: ClaimVerdict::Unavailable(code) }
+fn refuse(request: &ClaimRequest, code: ResultCode) -> ClaimAction {
+    ClaimAction::Answer { ticket: request.ticket, verdict: ClaimVerdict::Unavailable(code) }
 }
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -5,10 +5,12 @@
 //! and writes them together; the store's version check is the fence. Ownership only saves writes:
 //! two processes that both believe to own a shard still cannot both claim a key.
 
-pub mod book;
 pub mod keeper;
+pub mod partition;
 pub mod record;
 
-pub use book::{BookName, HeadValue, SegmentName, SegmentValue};
-pub use keeper::{BookKeeper, ClaimAction, ClaimAsk, ClaimSaid, ClaimSettings, ClaimVerdict};
-pub use record::{ClaimKey, ClaimRecord, body_digest, claim_key};
+pub use keeper::{
+    ClaimAction, ClaimRequest, ClaimSettings, ClaimVerdict, PartitionKeeper, StoreReply,
+};
+pub use partition::{HeadValue, PartitionName, SegmentName, SegmentValue};
+pub use record::{ClaimKey, ClaimRecord, claim_key, request_digest};
--- a/crates/claim/src/book.rs
+++ b/crates/claim/src/partition.rs
@@ -38,7 +38,7 @@
 }
 
 /// The length of time whose keys lie in one book.
-pub const BOOK_SPAN: TimeSpan = TimeSpan::secs(600);
+pub const PARTITION_SPAN: TimeSpan = TimeSpan::secs(600);
 
 /// Names one book of claims: a shard of keys, and the span of time that the keys themselves carry.
 ///
@@ -46,22 +46,22 @@
 /// the books of the keys it is asked about, which is the newest one as a rule, and not a day's
 /// claims; and a book whose span is past the horizon is removed as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct BookName {
+pub struct PartitionName {
     /// The shard.
     pub shard: u32,
     /// The number of the span since 1970.
     pub span: u64,
 }
 
-impl BookName {
+impl PartitionName {
     /// The book of a key in `shard` that carries `key_time` (wall clock).
-    pub fn of(shard: u32, key_time: ClockTime) -> BookName {
-        BookName { shard, span: key_time.0 / BOOK_SPAN.0 }
+    pub fn of(shard: u32, key_time: ClockTime) -> PartitionName {
+        PartitionName { shard, span: key_time.0 / PARTITION_SPAN.0 }
     }
 
-    /// Whether every key in it is older than `horizon` at `wall`.
-    pub fn is_past(self, horizon: TimeSpan, wall: ClockTime) -> bool {
-        ClockTime((self.span + 1) * BOOK_SPAN.0) + horizon <= wall
+    /// Whether every key in it is older than `retention` at `wall`.
+    pub fn is_expired(self, retention: TimeSpan, wall: ClockTime) -> bool {
+        ClockTime((self.span + 1) * PARTITION_SPAN.0) + retention <= wall
     }
 
     /// The name of its head object.
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -16,7 +16,7 @@
     }
 }
 
-fn half(digest: [u8; 32]) -> [u8; 16] {
+fn truncate(digest: [u8; 32]) -> [u8; 16] {
     let mut short = [0; 16];
     short.copy_from_slice(&digest[..16]);
     short
@@ -24,12 +24,12 @@
 
 /// The claim key of an account's idempotency key. Accounts never share keys.
 pub fn claim_key(account: &AccountName, key: &str) -> ClaimKey {
-    ClaimKey(half(digest_parts(&[account.as_str().as_bytes(), key.as_bytes()])))
+    ClaimKey(truncate(digest_parts(&[account.as_str().as_bytes(), key.as_bytes()])))
 }
 
 /// What tells two requests with one key apart: method, path with query, and body.
-pub fn body_digest(method: &str, path: &str, body: &[u8]) -> [u8; 16] {
-    half(digest_parts(&[method.as_bytes(), path.as_bytes(), body]))
+pub fn request_digest(method: &str, path: &str, body: &[u8]) -> [u8; 16] {
+    truncate(digest_parts(&[method.as_bytes(), path.as_bytes(), body]))
 }
 
 /// A claim as it is written.
--- a/crates/edge/src/again.rs
+++ b/crates/edge/src/again.rs
@@ -12,7 +12,7 @@
 use actix_web::web::Path;
 use actix_web::{HttpRequest, HttpResponse};
 use bytes::Bytes;
-use oleander_claim::{ClaimKey, body_digest, claim_key};
+use oleander_claim::{ClaimKey, claim_key, request_digest};
 use oleander_kind::{InstanceId, RequestId, ResultCode, TimeSpan, read_chat_head};
 use oleander_wire::{FoundRequest, KeptAnswer, PeerBody, ShadowRecord};
 use std::cell::RefCell;
@@ -115,7 +115,7 @@
             let _ = node.call_peer(&address, PeerBody::Taken { key }, FIND_LIMIT).await;
         });
     }
-    let digest = body_digest("POST", crate::chat::CHAT_PATH, &record.body);
+    let digest = request_digest("POST", crate::chat::CHAT_PATH, &record.body);
     let now = node.clock.now();
     let mut live = LiveRequest::new(record.id.clone(), record.account.clone(), digest, now);
     live.movable = true;
--- a/crates/edge/src/chat.rs
+++ b/crates/edge/src/chat.rs
@@ -13,7 +13,7 @@
 use actix_web::{HttpRequest, HttpResponse};
 use bytes::{Bytes, BytesMut};
 use oleander_bundle::ServiceEntry;
-use oleander_claim::{ClaimKey, body_digest, claim_key};
+use oleander_claim::{ClaimKey, claim_key, request_digest};
 use oleander_kind::{
     ChatHead, ClockTime, RequestId, ResultCode, ServiceName, VersionName, read_chat_head,
 };
@@ -60,7 +60,7 @@
     let service = find_service(&caller, &head, &id)?;
     let ask = ChatAsk {
         key: claim_key(&caller.account, id.as_str()),
-        digest: body_digest("POST", CHAT_PATH, &body),
+        digest: request_digest("POST", CHAT_PATH, &body),
         deadline: deadline(node, &request),
         id,
         head,
--- a/crates/edge/src/claims.rs
+++ b/crates/edge/src/claims.rs
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use compact_str::CompactString;
 use oleander_board::NodeClock;
-use oleander_claim::book::{BOOK_SPAN, decode};
+use oleander_claim::partition::{PARTITION_SPAN, decode};
 use oleander_claim::{
-    BookKeeper, BookName, ClaimAction, ClaimAsk, ClaimRecord, ClaimSaid, ClaimSettings,
-    ClaimVerdict, HeadValue,
+    ClaimAction, ClaimRecord, ClaimRequest, ClaimSettings, ClaimVerdict, HeadValue,
+    PartitionKeeper, PartitionName, StoreReply,
 };
 use oleander_conf::EntrySettings;
 use oleander_kind::{ClockTime, ResultCode, TimeSpan};
@@ -56,8 +56,8 @@
     pub granted: u64,
 }
 
-struct OpenBook {
-    keeper: BookKeeper,
+struct OpenPartition {
+    keeper: PartitionKeeper,
     used_at: ClockTime,
     tick_at: Option<ClockTime>,
 }
@@ -68,7 +68,7 @@
     clock: NodeClock,
     settings: ClaimSettings,
     shards: u32,
-    books: HashMap<BookName, OpenBook>,
+    books: HashMap<PartitionName, OpenPartition>,
     waiting: HashMap<u64, oneshot::Sender<ClaimVerdict>>,
     next_ticket: u64,
     closed: ClaimCounts,
@@ -80,11 +80,12 @@
         let times = &settings.times;
         let linger = TimeSpan(times.claim_linger_ms);
         // Each shard's newest book may make its part of the writes.
-        let pace = TimeSpan(u64::from(settings.claim_shards) * 1000 / times.claim_writes_per_s);
+        let write_interval =
+            TimeSpan(u64::from(settings.claim_shards) * 1000 / times.claim_writes_per_s);
         let desk = ClaimDesk {
             store,
             clock,
-            settings: ClaimSettings { linger, pace, ..ClaimSettings::default() },
+            settings: ClaimSettings { linger, write_interval, ..ClaimSettings::default() },
             shards: settings.claim_shards,
             books: HashMap::new(),
             waiting: HashMap::new(),
@@ -94,11 +95,11 @@
         Actor::start(desk)
     }
 
-    fn book(&mut self, name: BookName) -> &mut OpenBook {
+    fn partition(&mut self, name: PartitionName) -> &mut OpenPartition {
         let settings = self.settings;
         let now = self.clock.now();
-        self.books.entry(name).or_insert_with(|| OpenBook {
-            keeper: BookKeeper::new(settings),
+        self.books.entry(name).or_insert_with(|| OpenPartition {
+            keeper: PartitionKeeper::new(settings),
             used_at: now,
             tick_at: None,
         })
@@ -106,7 +107,7 @@
 
     fn carry_out(
         &mut self,
-        name: BookName,
+        name: PartitionName,
         actions: Vec<ClaimAction>,
         context: &mut Context<Self>,
     ) {
@@ -133,66 +134,71 @@
     }
 
     /// Plans the keeper's next tick, unless one is planned that comes as early.
-    fn plan_tick(&mut self, name: BookName, context: &mut Context<Self>) {
+    fn plan_tick(&mut self, name: PartitionName, context: &mut Context<Self>) {
         let now = self.clock.now();
-        let book = self.book(name);
-        let Some(at) = book.keeper.next_tick() else { return };
-        if book.tick_at.is_some_and(|planned| planned <= at && planned >= now) {
+        let partition = self.partition(name);
+        let Some(at) = partition.keeper.next_tick() else { return };
+        if partition.tick_at.is_some_and(|planned| planned <= at && planned >= now) {
             return;
         }
-        book.tick_at = Some(at);
+        partition.tick_at = Some(at);
         context.run_later((at - now).duration(), move |desk, context| {
             let (now, wall) = (desk.clock.now(), desk.clock.wall());
-            let book = desk.book(name);
-            book.tick_at = None;
-            let actions = book.keeper.tick(now, wall);
+            let partition = desk.partition(name);
+            partition.tick_at = None;
+            let actions = partition.keeper.tick(now, wall);
             desk.carry_out(name, actions, context);
         });
     }
 
-    fn read(&mut self, book: BookName, object: CompactString, context: &mut Context<Self>) {
+    fn read(
+        &mut self,
+        partition: PartitionName,
+        object: CompactString,
+        context: &mut Context<Self>,
+    ) {
         let store = self.store.clone();
         let reading = async move {
             match store.read(&object).await {
                 Ok(found) => {
-                    ClaimSaid::Read(found.map(|object| (object.version, object.bytes.to_vec())))
+                    StoreReply::Read(found.map(|object| (object.version, object.bytes.to_vec())))
                 }
-                Err(fault) if fault.code() == ResultCode::StoreBusy => ClaimSaid::Busy,
-                Err(_) => ClaimSaid::NotDone,
+                Err(fault) if fault.code() == ResultCode::StoreBusy => StoreReply::Busy,
+                Err(_) => StoreReply::NotDone,
             }
         };
-        self.hear(book, reading, context);
+        self.hear(partition, reading, context);
     }
 
     fn write(
         &mut self,
-        book: BookName,
+        partition: PartitionName,
         (object, version, bytes): (CompactString, Option<u64>, Vec<u8>),
         context: &mut Context<Self>,
     ) {
         let store = self.store.clone();
         let writing = async move {
             match store.write(&object, VersionGuard::of(version), Bytes::from(bytes)).await {
-                Ok(version) => ClaimSaid::Written(version),
-                Err(PlatError::OutcomeUnknown(_)) => ClaimSaid::Unknown,
-                Err(fault) if fault.code() == ResultCode::StoreConflict => ClaimSaid::Changed,
-                Err(fault) if fault.code() == ResultCode::StoreBusy => ClaimSaid::Busy,
-                Err(_) => ClaimSaid::NotDone,
+                Ok(version) => StoreReply::Written(version),
+                Err(PlatError::OutcomeUnknown(_)) => StoreReply::Unknown,
+                Err(fault) if fault.code() == ResultCode::StoreConflict => StoreReply::Changed,
+                Err(fault) if fault.code() == ResultCode::StoreBusy => StoreReply::Busy,
+                Err(_) => StoreReply::NotDone,
             }
         };
-        self.hear(book, writing, context);
+        self.hear(partition, writing, context);
     }
 
     fn hear(
         &mut self,
-        book: BookName,
-        call: impl Future<Output = ClaimSaid> + 'static,
+        partition: PartitionName,
+        call: impl Future<Output = StoreReply> + 'static,
         context: &mut Context<Self>,
     ) {
-        let heard = call.into_actor(self).map(move |said, desk, context| {
+        let heard = call.into_actor(self).map(move |store_reply, desk, context| {
             let (now, wall) = (desk.clock.now(), desk.clock.wall());
-            let actions = desk.book(book).keeper.said(said, now, wall);
-            desk.carry_out(book, actions, context);
+            let actions = desk.partition(partition).keeper.store_reply(store_reply, now, wall);
+            desk.carry_out(partition, actions, context);
         });
         context.spawn(heard);
     }
@@ -203,24 +209,24 @@
         let (now, wall) = (self.clock.now(), self.clock.wall());
         let mut written = Vec::new();
         let closed = &mut self.closed;
-        self.books.retain(|name, book| {
-            let busy = book.keeper.asks_open() > 0 || book.tick_at.is_some();
-            if busy || now - book.used_at < BOOK_IDLE {
+        self.books.retain(|name, partition| {
+            let busy = partition.keeper.pending_requests() > 0 || partition.tick_at.is_some();
+            if busy || now - partition.used_at < BOOK_IDLE {
                 written.push(name.shard);
                 return true;
             }
-            let (writes, granted) = book.keeper.counts();
+            let (writes, granted) = partition.keeper.counts();
             closed.writes += writes;
             closed.granted += granted;
             false
         });
         written.dedup();
-        let keep = TimeSpan(self.settings.horizon.0 + CLOCK_MARGIN.0);
-        let newest = (wall - keep).0 / BOOK_SPAN.0;
+        let keep = TimeSpan(self.settings.retention.0 + CLOCK_MARGIN.0);
+        let newest = (wall - keep).0 / PARTITION_SPAN.0;
         for shard in written {
             for span in newest.saturating_sub(SWEPT_BOOKS)..newest {
-                let name = BookName { shard, span };
-                if name.is_past(keep, wall) {
+                let name = PartitionName { shard, span };
+                if name.is_expired(keep, wall) {
                     actix_rt::spawn(remove_book(self.store.clone(), name));
                 }
             }
@@ -229,7 +235,7 @@
 }
 
 /// Removes a book: its segments first, so that none is left that no head names.
-async fn remove_book(store: HttpStore, name: BookName) {
+async fn remove_book(store: HttpStore, name: PartitionName) {
     let Ok(Some(head)) = store.read(&name.head()).await else { return };
     let value = decode::<HeadValue>(&head.bytes).unwrap_or_default();
     for segment in value.segments {
@@ -254,16 +260,16 @@
 
     fn handle(&mut self, message: AskClaim, context: &mut Self::Context) -> Self::Result {
         let shard = message.record.key.shard(self.shards);
-        let name = BookName::of(shard, message.record.key_time);
+        let name = PartitionName::of(shard, message.record.key_time);
         let (now, wall) = (self.clock.now(), self.clock.wall());
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         let (answer, answered) = oneshot::channel();
         self.waiting.insert(ticket, answer);
-        let ask = ClaimAsk { ticket, record: message.record, deadline: now + message.wait };
-        let book = self.book(name);
-        book.used_at = now;
-        let actions = book.keeper.ask(ask, now, wall);
+        let ask = ClaimRequest { ticket, record: message.record, deadline: now + message.wait };
+        let partition = self.partition(name);
+        partition.used_at = now;
+        let actions = partition.keeper.ask(ask, now, wall);
         self.carry_out(name, actions, context);
         Box::pin(async move {
             let lost = ClaimVerdict::Unavailable(ResultCode::StoreDown);
@@ -277,9 +283,9 @@
 
     fn handle(&mut self, _: CountClaims, _: &mut Self::Context) -> Self::Result {
         let mut counts = ClaimCounts { books: self.books.len(), ..self.closed };
-        for book in self.books.values() {
-            let (writes, granted) = book.keeper.counts();
-            counts.known += book.keeper.known();
+        for partition in self.books.values() {
+            let (writes, granted) = partition.keeper.counts();
+            counts.known += partition.keeper.known();
             counts.writes += writes;
             counts.granted += granted;
         }
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -17,7 +17,7 @@
 use awc::error::SendRequestError;
 use bytes::Bytes;
 use oleander_board::EndpointKey;
-use oleander_claim::{ClaimKey, ClaimRecord, ClaimVerdict, body_digest, claim_key};
+use oleander_claim::{ClaimKey, ClaimRecord, ClaimVerdict, claim_key, request_digest};
 use oleander_flow::{Admitted, EndState, NextStep, Received, RequestFlow, RequestSpec};
 use oleander_kind::ident::uuid_v7_millis;
 use oleander_kind::{ClockTime, InstanceId, RequestId, ResultCode, ServiceName, TimeSpan};
@@ -91,7 +91,7 @@
     let target = if query.is_empty() { tail } else { format!("{tail}?{query}") };
     let ask = PlainAsk {
         key: claim_key(&caller.account, id.as_str()),
-        digest: body_digest(method, &target, &body),
+        digest: request_digest(method, &target, &body),
         method: awc::http::Method::from_bytes(method.as_bytes()).unwrap_or_default(),
         deadline: deadline(node, &request),
         id,
--- a/crates/explore/src/claims.rs
+++ b/crates/explore/src/claims.rs
@@ -2,8 +2,8 @@
 
 use crate::search::SearchModel;
 use oleander_claim::{
-    BookKeeper, BookName, ClaimAction, ClaimAsk, ClaimKey, ClaimRecord, ClaimSaid, ClaimSettings,
-    ClaimVerdict,
+    ClaimAction, ClaimKey, ClaimRecord, ClaimRequest, ClaimSettings, ClaimVerdict, PartitionKeeper,
+    PartitionName, StoreReply,
 };
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
     /// Faults in one history.
     pub faults: u32,
     /// Claims in the head before it is sealed.
-    pub seal_at: usize,
+    pub seal_threshold: usize,
     /// The mistake.
     pub bug: ClaimBug,
 }
@@ -41,9 +41,9 @@
 /// Everything that can differ.
 #[derive(Clone, Debug)]
 pub struct ClaimState {
-    keepers: Vec<BookKeeper>,
+    keepers: Vec<PartitionKeeper>,
     calls: Vec<Option<StoreCall>>,
-    answers: Vec<Option<ClaimSaid>>,
+    answers: Vec<Option<StoreReply>>,
     late: Vec<StoreCall>,
     objects: BTreeMap<String, (u64, Vec<u8>)>,
     next_version: u64,
@@ -76,7 +76,7 @@
 
 const NOW: ClockTime = ClockTime(1_000_000);
 const REQUESTS: usize = 3;
-const BOOK: BookName = BookName { shard: 0, span: 0 };
+const BOOK: PartitionName = PartitionName { shard: 0, span: 0 };
 
 fn record(request: usize) -> ClaimRecord {
     // Two requests with one key, and one with another.
@@ -91,11 +91,11 @@
 }
 
 impl ClaimModel {
-    fn new_keeper(&self) -> BookKeeper {
-        BookKeeper::new(ClaimSettings {
+    fn new_keeper(&self) -> PartitionKeeper {
+        PartitionKeeper::new(ClaimSettings {
             linger: TimeSpan(0),
-            pace: TimeSpan(0),
-            seal_at: self.seal_at,
+            write_interval: TimeSpan(0),
+            seal_threshold: self.seal_threshold,
             ..ClaimSettings::default()
         })
     }
@@ -126,31 +126,31 @@
         }
     }
 
-    fn execute(&self, state: &mut ClaimState, call: StoreCall) -> ClaimSaid {
+    fn execute(&self, state: &mut ClaimState, call: StoreCall) -> StoreReply {
         match call {
-            StoreCall::Read(name) => ClaimSaid::Read(state.objects.get(&name).cloned()),
+            StoreCall::Read(name) => StoreReply::Read(state.objects.get(&name).cloned()),
             StoreCall::Write { name, version, bytes } => {
                 let current = state.objects.get(&name).map(|(version, _)| *version);
                 if current != version && self.bug != ClaimBug::NoFence {
-                    return ClaimSaid::Changed;
+                    return StoreReply::Changed;
                 }
                 state.next_version += 1;
                 state.objects.insert(name, (state.next_version, bytes));
-                ClaimSaid::Written(state.next_version)
+                StoreReply::Written(state.next_version)
             }
         }
     }
 
-    fn lost(&self, state: &ClaimState, was_read: bool) -> ClaimSaid {
+    fn lost(&self, state: &ClaimState, was_read: bool) -> StoreReply {
         match (self.bug, was_read) {
-            (_, true) => ClaimSaid::NotDone,
-            (ClaimBug::TrustLost, false) => ClaimSaid::Written(state.next_version),
-            _ => ClaimSaid::Unknown,
+            (_, true) => StoreReply::NotDone,
+            (ClaimBug::TrustLost, false) => StoreReply::Written(state.next_version),
+            _ => StoreReply::Unknown,
         }
     }
 
-    fn hear(&self, state: &mut ClaimState, keeper: usize, said: ClaimSaid) {
-        let actions = state.keepers[keeper].said(said, NOW, NOW);
+    fn hear(&self, state: &mut ClaimState, keeper: usize, store_reply: StoreReply) {
+        let actions = state.keepers[keeper].store_reply(store_reply, NOW, NOW);
         self.carry_out(state, keeper, actions);
     }
 }
@@ -212,7 +212,7 @@
         match *step {
             ClaimStep::Ask(request, keeper) => {
                 next.asked[request] = Some(keeper);
-                let ask = ClaimAsk {
+                let ask = ClaimRequest {
                     ticket: request as u64,
                     record: record(request),
                     deadline: NOW + TimeSpan(1000),
@@ -222,13 +222,13 @@
             }
             ClaimStep::Execute(keeper) => {
                 if let Some(call) = next.calls[keeper].take() {
-                    let said = self.execute(&mut next, call);
-                    next.answers[keeper] = Some(said);
+                    let store_reply = self.execute(&mut next, call);
+                    next.answers[keeper] = Some(store_reply);
                 }
             }
             ClaimStep::Deliver(keeper) => {
-                if let Some(said) = next.answers[keeper].take() {
-                    self.hear(&mut next, keeper, said);
+                if let Some(store_reply) = next.answers[keeper].take() {
+                    self.hear(&mut next, keeper, store_reply);
                 }
             }
             ClaimStep::LoseAnswer(keeper) | ClaimStep::LoseCall(keeper) => {
@@ -238,16 +238,16 @@
                     if matches!(step, ClaimStep::LoseAnswer(_)) {
                         self.execute(&mut next, call);
                     }
-                    let said = self.lost(&next, was_read);
-                    self.hear(&mut next, keeper, said);
+                    let store_reply = self.lost(&next, was_read);
+                    self.hear(&mut next, keeper, store_reply);
                 }
             }
             ClaimStep::Delay(keeper) => {
                 next.faults += 1;
                 if let Some(call) = next.calls[keeper].take() {
                     next.late.push(call);
-                    let said = self.lost(&next, false);
-                    self.hear(&mut next, keeper, said);
+                    let store_reply = self.lost(&next, false);
+                    self.hear(&mut next, keeper, store_reply);
                 }
             }
             ClaimStep::ExecuteLate(at) => {
--- a/crates/gauge/src/claims.rs
+++ b/crates/gauge/src/claims.rs
@@ -4,8 +4,8 @@
 //! that takes a fixed time for each call and refuses writes over its rate.
 
 use oleander_claim::{
-    BookKeeper, ClaimAction, ClaimAsk, ClaimKey, ClaimRecord, ClaimSaid, ClaimSettings,
-    ClaimVerdict,
+    ClaimAction, ClaimKey, ClaimRecord, ClaimRequest, ClaimSettings, ClaimVerdict, PartitionKeeper,
+    StoreReply,
 };
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use rand::rngs::StdRng;
@@ -53,8 +53,8 @@
 }
 
 struct CurveRun {
-    keepers: Vec<BookKeeper>,
-    said: Vec<Option<ClaimSaid>>,
+    keepers: Vec<PartitionKeeper>,
+    store_reply: Vec<Option<StoreReply>>,
     tick_at: Vec<u64>,
     events: BinaryHeap<Reverse<(u64, CurveEvent)>>,
     asked_at: BTreeMap<u64, u64>,
@@ -74,13 +74,13 @@
 ) -> CurvePoint {
     let settings = ClaimSettings {
         linger: TimeSpan(linger_ms),
-        pace: TimeSpan(pace_ms),
+        write_interval: TimeSpan(pace_ms),
         most_batch,
         ..ClaimSettings::default()
     };
     let mut run = CurveRun {
-        keepers: (0..SHARDS).map(|_| BookKeeper::new(settings)).collect(),
-        said: vec![None; SHARDS as usize],
+        keepers: (0..SHARDS).map(|_| PartitionKeeper::new(settings)).collect(),
+        store_reply: vec![None; SHARDS as usize],
         tick_at: vec![0; SHARDS as usize],
         events: BinaryHeap::new(),
         asked_at: BTreeMap::new(),
@@ -139,14 +139,17 @@
         match event {
             CurveEvent::Ask { shard, ticket } => {
                 self.asked_at.insert(ticket, now);
-                let ask =
-                    ClaimAsk { ticket, record: record(ticket), deadline: ClockTime(now + WAIT_MS) };
+                let ask = ClaimRequest {
+                    ticket,
+                    record: record(ticket),
+                    deadline: ClockTime(now + WAIT_MS),
+                };
                 let actions = self.keepers[shard as usize].ask(ask, clock, clock);
                 self.carry_out(shard, actions, now);
             }
             CurveEvent::Store { shard } => {
-                let Some(said) = self.said[shard as usize].take() else { return };
-                let actions = self.keepers[shard as usize].said(said, clock, clock);
+                let Some(store_reply) = self.store_reply[shard as usize].take() else { return };
+                let actions = self.keepers[shard as usize].store_reply(store_reply, clock, clock);
                 self.carry_out(shard, actions, now);
             }
             CurveEvent::Tick { shard } => {
@@ -158,17 +161,17 @@
 
     fn carry_out(&mut self, shard: u64, actions: Vec<ClaimAction>, now: u64) {
         for action in actions {
-            let said = match action {
+            let store_reply = match action {
                 ClaimAction::Answer { ticket, verdict } => {
                     if verdict == ClaimVerdict::Granted {
                         self.latencies.push(now - self.asked_at[&ticket]);
                     }
                     continue;
                 }
-                ClaimAction::ReadHead | ClaimAction::ReadSegment(_) => ClaimSaid::Read(None),
+                ClaimAction::ReadHead | ClaimAction::ReadSegment(_) => StoreReply::Read(None),
                 ClaimAction::WriteHead { .. } | ClaimAction::WriteSegment { .. } => self.write(now),
             };
-            self.said[shard as usize] = Some(said);
+            self.store_reply[shard as usize] = Some(store_reply);
             self.events.push(Reverse((now + STORE_MS, CurveEvent::Store { shard })));
         }
         if let Some(at) = self.keepers[shard as usize].next_tick() {
@@ -181,18 +184,18 @@
         }
     }
 
-    fn write(&mut self, now: u64) -> ClaimSaid {
+    fn write(&mut self, now: u64) -> StoreReply {
         if now / 1000 != self.second {
             self.second = now / 1000;
             self.writes_in_second = 0;
         }
         self.writes_in_second += 1;
         if self.writes_in_second > STORE_WRITES_PER_S {
-            return ClaimSaid::Busy;
+            return StoreReply::Busy;
         }
         self.writes += 1;
         self.version += 1;
-        ClaimSaid::Written(self.version)
+        StoreReply::Written(self.version)
     }
 }
 
@@ -207,9 +210,10 @@
          |---|---|---|---|---|---|---|---|\n",
     );
     for asked in &[100, 300, 1000, 3000] {
-        for (linger, pace, batch) in POINTS {
-            let mut points: Vec<CurvePoint> =
-                (1..=seeds).map(|seed| run_point(*asked, (*linger, *pace), *batch, seed)).collect();
+        for (linger, write_interval, batch) in POINTS {
+            let mut points: Vec<CurvePoint> = (1..=seeds)
+                .map(|seed| run_point(*asked, (*linger, *write_interval), *batch, seed))
+                .collect();
             points.sort_by(|a, b| a.granted_per_s.total_cmp(&b.granted_per_s));
             let point = &points[points.len() / 2];
             text.push_str(&format!(
--- a/crates/gauge/src/decide.rs
+++ b/crates/gauge/src/decide.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use oleander_board::Blackboard;
 use oleander_claim::{
-    BookKeeper, ClaimAction, ClaimAsk, ClaimKey, ClaimRecord, ClaimSaid, ClaimSettings,
+    ClaimAction, ClaimKey, ClaimRecord, ClaimRequest, ClaimSettings, PartitionKeeper, StoreReply,
 };
 use oleander_edge::sse::EventReader;
 use oleander_kind::hash::mix_bits;
@@ -311,34 +311,34 @@
 }
 
 /// Asks for `count` claims in batches of `batch` at a keeper whose store always agrees.
-fn claim_batches(count: u64, batch: usize) -> (BookKeeper, u64, usize) {
+fn claim_batches(count: u64, batch: usize) -> (PartitionKeeper, u64, usize) {
     let settings = ClaimSettings {
         linger: TimeSpan(0),
-        pace: TimeSpan(0),
+        write_interval: TimeSpan(0),
         most_batch: batch,
         ..Default::default()
     };
-    let mut keeper = BookKeeper::new(settings);
+    let mut keeper = PartitionKeeper::new(settings);
     let (mut version, mut written, mut writes) = (0, 0, 0);
     for at in 0..count {
-        let ask = ClaimAsk { ticket: at, record: claim(at), deadline: ClockTime(u64::MAX) };
+        let ask = ClaimRequest { ticket: at, record: claim(at), deadline: ClockTime(u64::MAX) };
         let mut actions = keeper.ask(ask, NOW, NOW);
         if (at + 1) % batch as u64 != 0 {
             // The write waits until the batch is full.
             actions.retain(|action| !matches!(action, ClaimAction::Answer { .. }));
         }
         while let Some(action) = actions.pop() {
-            let said = match action {
-                ClaimAction::ReadHead | ClaimAction::ReadSegment(_) => ClaimSaid::Read(None),
+            let store_reply = match action {
+                ClaimAction::ReadHead | ClaimAction::ReadSegment(_) => StoreReply::Read(None),
                 ClaimAction::WriteHead { bytes, .. } | ClaimAction::WriteSegment { bytes, .. } => {
                     version += 1;
                     writes += 1;
                     written += bytes.len();
-                    ClaimSaid::Written(version)
+                    StoreReply::Written(version)
                 }
                 _ => continue,
             };
-            actions.extend(keeper.said(said, NOW, NOW));
+            actions.extend(keeper.store_reply(store_reply, NOW, NOW));
         }
     }
     (keeper, writes, written)
@@ -357,7 +357,7 @@
                 segments: Vec::new(),
                 claims: (0..512).map(claim).collect(),
             };
-            oleander_claim::book::encode(&head).len() as f64
+            oleander_claim::partition::encode(&head).len() as f64
         }),
         cost("claims: one remembered claim", "bytes", || {
             const HELD: u64 = 512;
@@ -365,13 +365,13 @@
                 segments: Vec::new(),
                 claims: (0..HELD).map(claim).collect(),
             };
-            let bytes = oleander_claim::book::encode(&head);
+            let bytes = oleander_claim::partition::encode(&head);
             let read = || {
-                let mut keeper = BookKeeper::new(ClaimSettings::default());
+                let mut keeper = PartitionKeeper::new(ClaimSettings::default());
                 let ask =
-                    ClaimAsk { ticket: 1, record: claim(9999), deadline: ClockTime(u64::MAX) };
+                    ClaimRequest { ticket: 1, record: claim(9999), deadline: ClockTime(u64::MAX) };
                 keeper.ask(ask, NOW, NOW);
-                keeper.said(ClaimSaid::Read(Some((1, bytes.clone()))), NOW, NOW);
+                keeper.store_reply(StoreReply::Read(Some((1, bytes.clone()))), NOW, NOW);
                 keeper
             };
             state_kb_of(400, read) * 1000.0 / HELD as f64
--- a/tests/all/claim.rs
+++ b/tests/all/claim.rs
@@ -1,9 +1,9 @@
 //! Claims: what a keeper answers, and when it writes.
 
-use oleandertack::claim::book::{BOOK_SPAN, BookName, decode};
+use oleandertack::claim::partition::{PARTITION_SPAN, PartitionName, decode};
 use oleandertack::claim::{
-    BookKeeper, ClaimAction, ClaimAsk, ClaimRecord, ClaimSaid, ClaimSettings, ClaimVerdict,
-    HeadValue, claim_key,
+    ClaimAction, ClaimRecord, ClaimRequest, ClaimSettings, ClaimVerdict, HeadValue,
+    PartitionKeeper, StoreReply, claim_key,
 };
 use oleandertack::kind::{AccountName, ClockTime, InstanceId, ResultCode, TimeSpan};
 
@@ -20,16 +20,16 @@
     }
 }
 
-fn ask(ticket: u64, key: &str) -> ClaimAsk {
-    ClaimAsk { ticket, record: record(key, ticket), deadline: NOW + TimeSpan::secs(3) }
+fn ask(ticket: u64, key: &str) -> ClaimRequest {
+    ClaimRequest { ticket, record: record(key, ticket), deadline: NOW + TimeSpan::secs(3) }
 }
 
 /// A keeper that has read an empty book.
-fn ready_keeper(settings: ClaimSettings) -> BookKeeper {
-    let mut keeper = BookKeeper::new(settings);
+fn ready_keeper(settings: ClaimSettings) -> PartitionKeeper {
+    let mut keeper = PartitionKeeper::new(settings);
     keeper.ask(ask(1000, "first"), NOW, WALL);
-    keeper.said(ClaimSaid::Read(None), NOW, WALL);
-    keeper.said(ClaimSaid::Written(1), NOW, WALL);
+    keeper.store_reply(StoreReply::Read(None), NOW, WALL);
+    keeper.store_reply(StoreReply::Written(1), NOW, WALL);
     keeper
 }
 
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn claims_that_come_during_a_write_share_the_next_one() {
+fn claims_that_arrive_during_a_write_share_the_next_write() {
     let mut keeper = ready_keeper(ClaimSettings::default());
     keeper.ask(ask(1, "a"), NOW, WALL);
     keeper.ask(ask(2, "b"), NOW, WALL);
     keeper.ask(ask(3, "c"), NOW, WALL);
 
-    let actions = keeper.said(ClaimSaid::Written(2), NOW, WALL);
+    let actions = keeper.store_reply(StoreReply::Written(2), NOW, WALL);
 
     assert_eq!(verdict_of(&actions, 1), Some(ClaimVerdict::Granted));
     assert_eq!(written_claims(&actions), Some(4));
@@ -65,10 +65,11 @@
 #[test]
 fn writes_are_paced_once_the_burst_is_used_up() {
     // Callers wait a few milliseconds more near the store's limit, instead of being refused by it.
-    let settings = ClaimSettings { burst: 1, pace: TimeSpan(16), ..ClaimSettings::default() };
+    let settings =
+        ClaimSettings { burst: 1, write_interval: TimeSpan(16), ..ClaimSettings::default() };
     let mut keeper = ready_keeper(settings);
     keeper.ask(ask(1, "a"), NOW, WALL);
-    keeper.said(ClaimSaid::Written(2), NOW, WALL);
+    keeper.store_reply(StoreReply::Written(2), NOW, WALL);
 
     let early = keeper.ask(ask(2, "b"), NOW + TimeSpan(1), WALL);
     let due = keeper.next_tick().expect("a write is due later");
@@ -80,10 +81,10 @@
 }
 
 #[test]
-fn a_key_that_is_claimed_is_held_by_its_first_request() {
+fn a_claimed_key_belongs_to_its_first_request() {
     let mut keeper = ready_keeper(ClaimSettings::default());
     keeper.ask(ask(1, "a"), NOW, WALL);
-    keeper.said(ClaimSaid::Written(2), NOW, WALL);
+    keeper.store_reply(StoreReply::Written(2), NOW, WALL);
 
     let actions = keeper.ask(ask(2, "a"), NOW, WALL);
 
@@ -91,35 +92,35 @@
 }
 
 #[test]
-fn a_key_past_the_horizon_is_refused_by_its_age() {
+fn a_key_older_than_the_horizon_is_refused() {
     // The caller repeats a day-old key. Its book may be removed, so nothing could tell that the
     // call ran; the key's own time refuses it.
     let settings = ClaimSettings::default();
     let mut keeper = ready_keeper(settings);
 
-    let actions = keeper.ask(ask(1, "a"), NOW, WALL + settings.horizon);
+    let actions = keeper.ask(ask(1, "a"), NOW, WALL + settings.retention);
 
     let refused = ClaimVerdict::Unavailable(ResultCode::KeyTooOld);
     assert_eq!(verdict_of(&actions, 1), Some(refused));
 }
 
 #[test]
-fn a_book_is_past_only_when_all_its_keys_are() {
-    let book = BookName::of(0, WALL);
-    let horizon = TimeSpan::secs(24 * 3600);
-    let last_key = ClockTime((book.span + 1) * BOOK_SPAN.0 - 1);
+fn a_partition_expires_only_when_all_its_keys_have_expired() {
+    let partition = PartitionName::of(0, WALL);
+    let retention = TimeSpan::secs(24 * 3600);
+    let last_key = ClockTime((partition.span + 1) * PARTITION_SPAN.0 - 1);
 
-    assert!(!book.is_past(horizon, last_key + horizon));
-    assert!(book.is_past(horizon, last_key + TimeSpan(horizon.0 + 1)));
+    assert!(!partition.is_expired(retention, last_key + retention));
+    assert!(partition.is_expired(retention, last_key + TimeSpan(retention.0 + 1)));
 }
 
 #[test]
-fn when_the_store_is_down_every_waiting_ask_is_refused_at_once() {
+fn all_waiting_requests_are_refused_at_once_when_the_store_is_down() {
     let mut keeper = ready_keeper(ClaimSettings::default());
     keeper.ask(ask(1, "a"), NOW, WALL);
     keeper.ask(ask(2, "b"), NOW, WALL);
 
-    let actions = keeper.said(ClaimSaid::NotDone, NOW, WALL);
+    let actions = keeper.store_reply(StoreReply::NotDone, NOW, WALL);
 
     let refused = Some(ClaimVerdict::Unavailable(ResultCode::StoreDown));
     assert_eq!([verdict_of(&actions, 1), verdict_of(&actions, 2)], [refused.clone(), refused]);
--- a/tests/all/explore.rs
+++ b/tests/all/explore.rs
@@ -22,25 +22,25 @@
 
 #[test]
 fn a_key_is_granted_once_whatever_is_lost_delayed_or_crashes() {
-    let model = ClaimModel { keepers: 2, faults: 2, seal_at: 100, bug: ClaimBug::None };
+    let model = ClaimModel { keepers: 2, faults: 2, seal_threshold: 100, bug: ClaimBug::None };
     held(&explore(&model, MOST_STATES));
 }
 
 #[test]
 fn a_key_is_granted_once_while_heads_are_sealed() {
-    let model = ClaimModel { keepers: 2, faults: 1, seal_at: 1, bug: ClaimBug::None };
+    let model = ClaimModel { keepers: 2, faults: 1, seal_threshold: 1, bug: ClaimBug::None };
     held(&explore(&model, MOST_STATES));
 }
 
 #[test]
 fn without_the_version_check_a_key_is_granted_twice() {
-    let model = ClaimModel { keepers: 2, faults: 0, seal_at: 100, bug: ClaimBug::NoFence };
+    let model = ClaimModel { keepers: 2, faults: 0, seal_threshold: 100, bug: ClaimBug::NoFence };
     found(&explore(&model, MOST_STATES));
 }
 
 #[test]
 fn a_lost_answer_taken_for_success_grants_a_key_twice() {
-    let model = ClaimModel { keepers: 2, faults: 1, seal_at: 100, bug: ClaimBug::TrustLost };
+    let model = ClaimModel { keepers: 2, faults: 1, seal_threshold: 100, bug: ClaimBug::TrustLost };
     found(&explore(&model, MOST_STATES));
 }
 
