--- a/crates/claim/src/keeper.rs
+++ b/crates/claim/src/keeper.rs
@@ -1,30 +1,30 @@
-//! Keeps one book of claims, as a pure state machine.
+//! Grants the claims of one partition, as a state machine without I/O.
 
 use crate::partition::{HeadValue, SegmentName, SegmentValue, decode, encode};
 use crate::record::{ClaimKey, ClaimRecord};
 use oleander_kind::{ClockTime, ResultCode, TimeSpan};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// How claims are gathered and kept.
+/// Limits and times of batching and keeping claims.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimSettings {
-    /// How long the first claim of a write waits for others.
+    /// How long the first claim of a batch waits for others.
     pub linger: TimeSpan,
-    /// The time between two writes that this book's share of the store's rate allows.
+    /// Time between two writes that this partition's share of the store's rate limit allows.
     pub write_interval: TimeSpan,
-    /// Writes that may be made early, after a quiet time.
+    /// Number of writes that may be made ahead of the rate after an idle time.
     pub burst: u64,
-    /// The most claims in one write.
+    /// Most claims in one write.
     pub most_batch: usize,
-    /// The most claims waiting; more are refused.
+    /// Most claim requests that wait; further ones are refused.
     pub most_waiting: usize,
-    /// The head is sealed when it holds this many claims.
+    /// Number of claims in the head at which they are sealed in a segment.
     pub seal_threshold: usize,
-    /// How long keys are remembered, by the time the key itself carries.
+    /// How long claims are kept, counted from the time that the key carries.
     pub retention: TimeSpan,
-    /// How far a key's time may lie in the future.
+    /// How far in the future the time that a key carries may be.
     pub max_future_skew: TimeSpan,
-    /// Between a refusal for rate and the next try.
+    /// Backoff after the store refused a call because of its rate limit.
     pub busy_backoff: TimeSpan,
 }
 
@@ -44,95 +44,95 @@
     }
 }
 
-/// A request that asks for its claim.
+/// A request to claim a key.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
-    /// Names the ask in the answer.
+    /// Identifies the claim request in its answer.
     pub ticket: u64,
-    /// What is to be claimed.
+    /// The claim to make.
     pub record: ClaimRecord,
-    /// Monotonic time after which nobody waits for the answer.
+    /// Monotonic time after which the requester no longer waits.
     pub deadline: ClockTime,
 }
 
-/// The answer to an ask.
+/// The answer to a claim request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// The asker, and nobody else ever, may send the request.
+    /// The requester may send its request, and no other process may ever send it.
     Granted,
-    /// The key is claimed by this record; with another digest it is another request.
+    /// The key is claimed by this record. If its digest differs, the key was used for another request.
     Held(ClaimRecord),
-    /// Not claimed for the asker; it must not send.
+    /// The key was not claimed; the requester must not send its request.
     Unavailable(ResultCode),
 }
 
-/// What the keeper wants done.
+/// An action that the caller of the keeper must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Read the book's head.
+    /// Read the head of the partition.
     ReadHead,
     /// Read a sealed segment.
     ReadSegment(SegmentName),
     /// Write the head if its version is still `version`.
     WriteHead {
-        /// The version read; none if there is no head.
+        /// The version that was read; none if there is no head.
         version: Option<u64>,
-        /// Its bytes.
+        /// The encoded head.
         bytes: Vec<u8>,
     },
-    /// Create a segment. One that is there already has the same bytes, by its name.
+    /// Create a segment. An existing one has the same bytes, because its name is their digest.
     WriteSegment {
-        /// Its name.
+        /// Name of the segment.
         segment: SegmentName,
-        /// Its bytes.
+        /// The encoded segment.
         bytes: Vec<u8>,
     },
-    /// Answer an ask.
+    /// Answer a claim request.
     Answer {
-        /// Its ticket.
+        /// Ticket of the claim request.
         ticket: u64,
-        /// The verdict.
+        /// The answer.
         verdict: ClaimVerdict,
     },
 }
 
-/// What the store said to the newest read or write.
+/// Reply of the store to the latest read or write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
-    /// The object as read, with its version.
+    /// The object that was read, with its version; none if it does not exist.
     Read(Option<(u64, Vec<u8>)>),
-    /// The write was made; the new version.
+    /// The write succeeded; the new version.
     Written(u64),
-    /// The version was another.
+    /// The write was refused because the version has changed.
     Changed,
-    /// The rate is used up; nothing changed.
+    /// The call was refused because of the store's rate limit.
     Busy,
-    /// Refused or never sent; nothing changed.
+    /// The call failed and had no effect.
     NotDone,
-    /// The write may have been made.
+    /// The call failed, but the write may have taken effect.
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum KeeperState {
-    /// Nothing is known of the book.
+    /// The partition has not been read.
     Cold,
     ReadingHead,
-    /// Reading the segment of this place in the head.
+    /// Reading the segment at this index of the head.
     ReadingSegment(usize),
     Ready,
     WritingHead,
     WritingSegment(SegmentName),
-    /// Writing a head that counts one more segment and starts empty.
+    /// Writing a head that lists the new segment and holds no claims.
     SwitchingHead,
 }
 
-/// One book's keeper.
+/// Grants the claims of one partition.
 ///
-/// **At most once.** A claim is granted only after a head that contains it was written against the
-/// version that was read, or after reading it back under the asker's own nonce. The head names all
-/// sealed segments, so the version check covers them too. A keeper that was paused while another
-/// took over has an old version: its write fails, it reads again and finds the other's claims.
+/// **At most once.** A claim is granted only after a head that contains it was written against the version
+/// that was read, or after it was read back with the requester's own nonce. The head lists all sealed
+/// segments, so that the version check covers them too. A keeper that was suspended while another one took
+/// over has an old version: its write fails, and it reads the other keeper's claims.
 #[derive(Clone, Debug)]
 pub struct PartitionKeeper {
     settings: ClaimSettings,
@@ -144,7 +144,7 @@
     waiting: VecDeque<ClaimRequest>,
     batch: Vec<ClaimRequest>,
     gather_until: Option<ClockTime>,
-    /// When the next write would be due if all had come at the book's pace.
+    /// When the next write is due at the partition's rate, without a burst.
     due_at: ClockTime,
     pause_until: ClockTime,
     writes: u64,
@@ -152,7 +152,7 @@
 }
 
 impl PartitionKeeper {
-    /// A keeper that knows nothing yet.
+    /// Creates a keeper that has not read its partition.
     pub fn new(settings: ClaimSettings) -> Self {
         PartitionKeeper {
             settings,
@@ -171,22 +171,22 @@
         }
     }
 
-    /// Claims remembered.
+    /// Number of claims known.
     pub fn known(&self) -> usize {
         self.known.len()
     }
 
-    /// Asks that wait for an answer.
+    /// Number of claim requests that wait for an answer.
     pub fn pending_requests(&self) -> usize {
         self.waiting.len() + self.batch.len()
     }
 
-    /// Head writes asked for, and claims granted.
+    /// Numbers of head writes started and claims granted.
     pub fn counts(&self) -> (u64, u64) {
         (self.writes, self.granted)
     }
 
-    /// When `tick` is wanted next; none if there is nothing to wait for but the store's answer.
+    /// When `tick` must be called next; none if no claim request waits or a reply of the store is pending.
     pub fn next_tick(&self) -> Option<ClockTime> {
         let calling = !matches!(self.state, KeeperState::Ready | KeeperState::Cold);
         if calling || self.waiting.is_empty() {
@@ -195,7 +195,7 @@
         Some(self.gather_until.unwrap_or(self.pause_until).max(self.pause_until))
     }
 
-    /// Takes an ask. `wall` is wall-clock time, against which the key's age is judged.
+    /// Handles a claim request. The age of its key is checked against the wall-clock time `wall`.
     pub fn ask(
         &mut self,
         request: ClaimRequest,
@@ -217,7 +217,7 @@
         self.tick(now, wall)
     }
 
-    /// Lets time pass.
+    /// Handles the passage of time: refuses expired claim requests and starts reads and writes that are due.
     pub fn tick(&mut self, now: ClockTime, wall: ClockTime) -> Vec<ClaimAction> {
         let mut actions = self.refuse_expired(now);
         if now < self.pause_until || self.waiting.is_empty() {
@@ -234,7 +234,7 @@
         actions
     }
 
-    /// Takes what the store said to the newest read or write.
+    /// Handles the reply of the store to the latest read or write.
     pub fn store_reply(
         &mut self,
         reply: StoreReply,
@@ -257,7 +257,7 @@
                 self.switch_head(sealed, &mut actions);
             }
             (KeeperState::WritingSegment(_), StoreReply::Unknown) => {
-                // Writing it again does no harm.
+                // The write is idempotent, so it is repeated.
                 self.write_seal(&mut actions);
             }
             (KeeperState::SwitchingHead, StoreReply::Written(version)) => {
@@ -272,8 +272,8 @@
         actions
     }
 
-    /// Why the key cannot be claimed, whatever the shard holds. Past the horizon its claim may
-    /// have been removed, so that a repeat would look new: it is refused by its own age instead.
+    /// Why the key cannot be claimed, independent of the partition's claims. After the retention its claim may
+    /// have been removed and a repeated request would look new, so the key is refused by its age.
     fn key_error(&self, record: &ClaimRecord, wall: ClockTime) -> Option<ResultCode> {
         if record.key_time + self.settings.retention <= wall {
             return Some(ResultCode::KeyTooOld);
@@ -301,8 +301,8 @@
 
     fn gather_or_write(&mut self, now: ClockTime, wall: ClockTime, out: &mut Vec<ClaimAction>) {
         let full = self.waiting.len() >= self.settings.most_batch;
-        // Claims gather for as long as the store's rate makes them wait anyway, and no longer: at
-        // a quiet time a write goes out at once, near the limit it takes more claims along.
+        // Claims are batched only for as long as the store's rate limit makes them wait anyway: an idle
+        // partition writes at once, and near the limit each write has more claims.
         let early = TimeSpan(self.settings.write_interval.0 * self.settings.burst);
         let paced = self.due_at - early;
         let until = *self.gather_until.get_or_insert((now + self.settings.linger).max(paced));
@@ -324,7 +324,7 @@
                 out.push(answer);
                 continue;
             }
-            // The key may have aged while it waited.
+            // The key may have become too old while its request waited.
             if let Some(code) = self.key_error(&request.record, wall) {
                 out.push(refuse(&request, code));
                 continue;
@@ -381,7 +381,7 @@
         out: &mut Vec<ClaimAction>,
     ) {
         let Some((_, bytes)) = found else {
-            // The book is past the horizon and was removed since its head was read.
+            // The partition was removed after its retention, since its head was read.
             return self.reload(out);
         };
         let Some(segment) = decode::<SegmentValue>(&bytes) else {
@@ -407,7 +407,7 @@
         self.known.extend(head.claims.iter().map(|record| (record.key, record.clone())));
         self.head = head;
         self.state = KeeperState::Ready;
-        // Asks whose write had an unknown end find their own nonce here, or wait again.
+        // Claim requests whose write may have taken effect find their own nonce here, or wait again.
         for request in std::mem::take(&mut self.batch).into_iter().rev() {
             match self.answer_known(&request) {
                 Some(answer) => out.push(answer),
@@ -422,9 +422,9 @@
         }
     }
 
-    /// Seals the head's claims. The segment counts only once a head names it, and that head is
-    /// written against the version whose claims were sealed: a claim that another keeper added
-    /// since makes it fail.
+    /// Seals the head's claims in a segment. The segment takes effect only when a head lists it. That head is
+    /// written against the version whose claims were sealed, so the write fails if another keeper has added a
+    /// claim meanwhile.
     fn write_seal(&mut self, out: &mut Vec<ClaimAction>) {
         let (sealed, bytes) = SegmentValue { claims: self.head.claims.clone() }.seal();
         self.state = KeeperState::WritingSegment(sealed);
@@ -446,7 +446,7 @@
         self.state = KeeperState::Ready;
     }
 
-    /// The head may have changed: what is known is read again before anything is granted.
+    /// Reads the partition again before anything is granted, because the head may have changed.
     fn reload(&mut self, out: &mut Vec<ClaimAction>) {
         self.state = KeeperState::ReadingHead;
         self.loading = None;
@@ -459,8 +459,8 @@
         self.reset_state();
     }
 
-    /// The store is down. Nobody waits for it: every ask is refused, truly, because no claim of
-    /// these asks can be granted any more: the askers are told not to send.
+    /// Refuses all claim requests, because the store is down. Their requesters must not send; this is safe
+    /// because these claims cannot be granted any more.
     fn store_failed(&mut self, out: &mut Vec<ClaimAction>) {
         self.requeue_batch();
         self.reset_state();
@@ -473,7 +473,7 @@
         }
     }
 
-    /// After a call that changed nothing: what was known stays known, a load starts over.
+    /// Resets the state after a call without effect: known claims stay known, and an unfinished load starts over.
     fn reset_state(&mut self) {
         self.loading = None;
         self.state = match self.state {
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,9 +1,8 @@
-//! At most once: a non-idempotent request is claimed in the platform's store before it is sent.
+//! At-most-once execution: a non-idempotent request is claimed in the platform's store before it is sent.
 //!
-//! Claims lie in shards by key, and in books by the time the key carries. The entry that a shard
-//! points at gathers claims for a short while
-//! and writes them together; the store's version check is the fence. Ownership only saves writes:
-//! two processes that both believe to own a shard still cannot both claim a key.
+//! Claims are sharded by key and partitioned by the time that the key carries. The owner of a shard batches
+//! claims for a short time and writes them together, with the store's version check as the fence. Ownership
+//! of a shard only saves writes: two processes that both assume to own a shard cannot both claim a key.
 
 pub mod keeper;
 pub mod partition;
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -1,15 +1,15 @@
-//! One claim.
+//! The record of one claim, and the digests that identify it.
 
 use oleander_kind::hash::digest_parts;
 use oleander_kind::{AccountName, ClockTime, InstanceId};
 use serde::{Deserialize, Serialize};
 
-/// What a claim is found by: half of the digest of account and idempotency key.
+/// Key of a claim: half of the digest of account and idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey(pub [u8; 16]);
 
 impl ClaimKey {
-    /// The shard of `shards` that the key lies in.
+    /// The shard of the key, out of `shards`.
     pub fn shard(self, shards: u32) -> u32 {
         let head = u32::from_le_bytes([self.0[0], self.0[1], self.0[2], self.0[3]]);
         head % shards.max(1)
@@ -22,32 +22,32 @@
     short
 }
 
-/// The claim key of an account's idempotency key. Accounts never share keys.
+/// The claim key of an account's idempotency key. Equal keys of different accounts are different claims.
 pub fn claim_key(account: &AccountName, key: &str) -> ClaimKey {
     ClaimKey(truncate(digest_parts(&[account.as_str().as_bytes(), key.as_bytes()])))
 }
 
-/// What tells two requests with one key apart: method, path with query, and body.
+/// Digest of method, path with query, and body, which distinguishes requests with the same idempotency key.
 pub fn request_digest(method: &str, path: &str, body: &[u8]) -> [u8; 16] {
     truncate(digest_parts(&[method.as_bytes(), path.as_bytes(), body]))
 }
 
-/// A claim as it is written.
+/// A claim as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// Its key.
+    /// Key of the claim.
     #[serde(rename = "k")]
     pub key: ClaimKey,
     /// Digest of the request.
     #[serde(rename = "d")]
     pub digest: [u8; 16],
-    /// Made anew for each request that asks; by it a lost answer is settled.
+    /// Generated for each claim request; identifies the requester's own claim after the reply to its write was lost.
     #[serde(rename = "n")]
     pub nonce: u64,
-    /// The entry that may send the request, and keeps its answer.
+    /// The entry process that may send the request and that keeps its answer.
     #[serde(rename = "o")]
     pub owner: InstanceId,
-    /// Wall-clock time the key itself carries.
+    /// Wall-clock time that the idempotency key carries.
     #[serde(rename = "t")]
     pub key_time: ClockTime,
 }
--- a/tests/all/claim.rs
+++ b/tests/all/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: what a keeper answers, and when it writes.
+//! Claims: which claim requests a keeper grants, and when it writes.
 
 use oleandertack::claim::partition::{PARTITION_SPAN, PartitionName, decode};
 use oleandertack::claim::{
@@ -24,7 +24,7 @@
     ClaimRequest { ticket, record: record(key, ticket), deadline: NOW + TimeSpan::secs(3) }
 }
 
-/// A keeper that has read an empty book.
+/// A keeper that has read an empty partition.
 fn ready_keeper(settings: ClaimSettings) -> PartitionKeeper {
     let mut keeper = PartitionKeeper::new(settings);
     keeper.ask(ask(1000, "first"), NOW, WALL);
@@ -64,7 +64,7 @@
 
 #[test]
 fn writes_are_paced_once_the_burst_is_used_up() {
-    // Callers wait a few milliseconds more near the store's limit, instead of being refused by it.
+    // Near the store's rate limit, callers wait a few milliseconds longer instead of being refused.
     let settings =
         ClaimSettings { burst: 1, write_interval: TimeSpan(16), ..ClaimSettings::default() };
     let mut keeper = ready_keeper(settings);
@@ -93,8 +93,8 @@
 
 #[test]
 fn a_key_older_than_the_horizon_is_refused() {
-    // The caller repeats a day-old key. Its book may be removed, so nothing could tell that the
-    // call ran; the key's own time refuses it.
+    // A day-old key is repeated. Its partition may be removed, so that the claim of the first request could
+    // not be found; the key must be refused by the time it carries.
     let settings = ClaimSettings::default();
     let mut keeper = ready_keeper(settings);
 
