--- a/crates/flow/src/life.rs
+++ b/crates/flow/src/life.rs
@@ -1,78 +1,78 @@
-//! The states of a request and the steps between them.
+//! The states of a request and the transitions between them.
 
-use crate::splice::{AnswerSplice, PieceVerdict};
+use crate::splice::{AnswerSplice, ChunkVerdict};
 use oleander_kind::{ClockTime, InstanceId, RequestId, ResultCode};
 use std::marker::PhantomData;
 
-/// What a request is, as far as its life depends on it.
+/// Properties of a request that decide how it may be retried.
 #[derive(Clone, Debug)]
-pub struct FlowSpec {
-    /// Its id.
+pub struct RequestSpec {
+    /// Request id.
     pub id: RequestId,
-    /// Whether running it twice does no harm. Model streams count as idempotent: a rerun goes on
-    /// from the shown tokens.
+    /// Whether the request may run twice. Model streams count as idempotent: a rerun continues after the
+    /// delivered tokens.
     pub idempotent: bool,
-    /// Whether the endpoint can resume a cut stream by offset.
+    /// Whether the endpoint can resume a broken stream at an offset.
     pub resumable: bool,
-    /// Monotonic time by which the caller wants the answer.
+    /// Deadline of the caller, as monotonic time.
     pub deadline: ClockTime,
-    /// The most attempts in a row that bring no token, the first included. An attempt that shows
-    /// something starts the count anew: a stream that gets on is never given up.
-    pub most_attempts: u32,
+    /// Most consecutive attempts that deliver no token, including the first. An attempt that delivers a token
+    /// resets the count: a stream that makes progress is never given up.
+    pub max_attempts: u32,
 }
 
-/// The recorded facts of all attempts so far, joined: a fact once true stays true.
+/// Facts recorded over all attempts so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptFacts {
-    /// A byte of the request may have left for an endpoint that did not refuse it since.
+    /// A byte of the request may have been sent to an endpoint that did not refuse the request afterwards.
     pub may_have_left: bool,
-    /// An endpoint may have run it.
+    /// An endpoint may have run the request.
     pub may_have_run: bool,
-    /// The answer is whole.
+    /// The answer is complete.
     pub whole: bool,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndState {
-    /// The whole answer was handed over.
+    /// The complete answer was delivered.
     Complete,
-    /// It did not run, and the code says so.
+    /// The request did not run, and the code says so.
     Refused(ResultCode),
-    /// It may have run; the code tells what is known.
-    Doubtful(ResultCode),
+    /// The request may have run; the code says what is known.
+    Uncertain(ResultCode),
 }
 
-/// How a cut stream goes on.
+/// How a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutPlan {
-    /// Ask the same endpoint for the stream from the shown offset.
+pub enum RetryPlan {
+    /// Resume the stream at the same endpoint after the delivered tokens.
     ResumeSame,
-    /// Run elsewhere, with the shown tokens as the start of the answer.
+    /// Run the request at another endpoint, with the delivered tokens as the start of the answer.
     RerunElsewhere,
 }
 
-/// The request was read; nothing is decided.
+/// State: the request was read and nothing is decided.
 #[derive(Debug)]
 pub struct Received;
-/// The request is accepted; no attempt is open.
+/// State: the request is accepted and no attempt is in progress.
 #[derive(Debug)]
 pub struct Admitted;
-/// An endpoint is chosen; no byte has left.
+/// State: an endpoint is chosen and no byte has been sent to it.
 #[derive(Debug)]
 pub struct Placed;
-/// A byte may have left.
+/// State: a byte may have been sent to the chosen endpoint.
 #[derive(Debug)]
 pub struct Running;
 
 /// One request in state `S`.
 #[derive(Debug)]
 pub struct RequestFlow<S> {
-    spec: FlowSpec,
+    spec: RequestSpec,
     facts: AttemptFacts,
     splice: AnswerSplice,
     attempts: u32,
-    fruitless: u32,
+    stalled_attempts: u32,
     resumes: u32,
     endpoint: Option<InstanceId>,
     state: PhantomData<S>,
@@ -81,91 +81,91 @@
 /// What follows a failed attempt.
 #[derive(Debug)]
 pub enum NextStep {
-    /// Choose an endpoint and try again, after the budget allowed it.
+    /// Choose an endpoint and retry, if the retry budget allows it.
     Again {
-        /// The request, ready to be placed.
+        /// The request, ready for the choice of an endpoint.
         flow: RequestFlow<Admitted>,
-        /// Why another attempt is safe.
-        plan: CutPlan,
+        /// How the request is retried.
+        plan: RetryPlan,
     },
-    /// Answer the caller.
+    /// Answer the caller with this result.
     Ended(EndState),
 }
 
 impl<S> RequestFlow<S> {
-    /// What the request is.
-    pub fn spec(&self) -> &FlowSpec {
+    /// Properties of the request.
+    pub fn spec(&self) -> &RequestSpec {
         &self.spec
     }
 
-    /// The facts recorded so far.
+    /// Facts recorded so far.
     pub fn facts(&self) -> AttemptFacts {
         self.facts
     }
 
-    /// Tokens shown so far.
-    pub fn shown(&self) -> u64 {
-        self.splice.shown()
+    /// Number of tokens delivered to the caller so far.
+    pub fn delivered(&self) -> u64 {
+        self.splice.delivered()
     }
 
-    /// The endpoint of the newest attempt.
+    /// Endpoint of the latest attempt.
     pub fn endpoint(&self) -> Option<&InstanceId> {
         self.endpoint.as_ref()
     }
 
-    /// The number of the newest attempt, from 1.
+    /// Number of the latest attempt, from 1.
     pub fn attempt(&self) -> u32 {
         self.attempts
     }
 
-    fn turn<T>(self) -> RequestFlow<T> {
+    fn into_state<T>(self) -> RequestFlow<T> {
         RequestFlow {
             spec: self.spec,
             facts: self.facts,
             splice: self.splice,
             attempts: self.attempts,
-            fruitless: self.fruitless,
+            stalled_attempts: self.stalled_attempts,
             resumes: self.resumes,
             endpoint: self.endpoint,
             state: PhantomData,
         }
     }
 
-    /// The true ending for a request that goes no further because of `code`. A code that says
-    /// "not run" is replaced once the facts no longer bear it out: a caller that believed it would
-    /// repeat a batch code that was already printed.
-    fn ending(&self, code: ResultCode) -> EndState {
+    /// The end state of a request that is given up because of `code`. A code that says "not run" is replaced
+    /// if the request may have run: a caller that believed it would send an unsafe request twice, such as one
+    /// for a batch code that is already printed.
+    fn end_state(&self, code: ResultCode) -> EndState {
         let untouched = !self.facts.may_have_left && !self.facts.may_have_run;
         match (code.says_not_run(), untouched) {
             (true, true) => EndState::Refused(code),
             (true, false) if code == ResultCode::DeadlineNotRun => {
-                EndState::Doubtful(ResultCode::DeadlinePassed)
+                EndState::Uncertain(ResultCode::DeadlinePassed)
             }
-            (true, false) => EndState::Doubtful(ResultCode::Uncertain),
+            (true, false) => EndState::Uncertain(ResultCode::Uncertain),
             (false, true) if code == ResultCode::DeadlinePassed => {
                 EndState::Refused(ResultCode::DeadlineNotRun)
             }
-            (false, _) => EndState::Doubtful(code),
+            (false, _) => EndState::Uncertain(code),
         }
     }
 }
 
 impl RequestFlow<Received> {
-    /// A request as it was read.
-    pub fn new(spec: FlowSpec) -> Self {
+    /// Creates the state of a request that was read.
+    pub fn new(spec: RequestSpec) -> Self {
         RequestFlow {
             spec,
             facts: AttemptFacts::default(),
             splice: AnswerSplice::default(),
             attempts: 0,
-            fruitless: 0,
+            stalled_attempts: 0,
             resumes: 0,
             endpoint: None,
             state: PhantomData,
         }
     }
 
-    /// Accepts it, unless its deadline has passed.
+    /// Accepts the request, unless its deadline has passed.
     ///
     /// # Errors
     /// [`ResultCode::DeadlineNotRun`] if `now` is at or past the deadline.
@@ -173,121 +173,125 @@
         if now >= self.spec.deadline {
             return Err(ResultCode::DeadlineNotRun);
         }
-        Ok(self.turn::<Admitted>())
+        Ok(self.into_state::<Admitted>())
     }
 
-    /// Takes over a request that another process admitted: it may have run, and `shown` tokens may
+    /// Takes over a request that another process admitted: it may have run, and up to `delivered` tokens may
     /// have reached the caller.
-    pub fn adopt(self, endpoint: InstanceId, shown: u64) -> RequestFlow<Admitted> {
-        let mut flow = self.turn::<Admitted>();
+    pub fn adopt(self, endpoint: InstanceId, delivered: u64) -> RequestFlow<Admitted> {
+        let mut flow = self.into_state::<Admitted>();
         flow.facts.may_have_left = true;
         flow.facts.may_have_run = true;
         flow.attempts = 1;
         flow.endpoint = Some(endpoint);
         flow.splice.begin_attempt(1);
-        flow.splice.judge(1, 0, shown);
+        flow.splice.judge(1, 0, delivered);
         flow
     }
 }
 
 impl RequestFlow<Admitted> {
-    /// Chooses an endpoint for the next attempt.
+    /// Starts the next attempt at `endpoint`.
     pub fn place(mut self, endpoint: InstanceId) -> RequestFlow<Placed> {
         self.attempts += 1;
-        self.fruitless += 1;
+        self.stalled_attempts += 1;
         self.splice.begin_attempt(self.attempts);
         self.endpoint = Some(endpoint);
-        self.turn::<Placed>()
+        self.into_state::<Placed>()
     }
 
-    /// Gives up before a further attempt.
+    /// Ends the request without a further attempt.
     pub fn give_up(self, code: ResultCode) -> EndState {
-        self.ending(code)
+        self.end_state(code)
     }
 }
 
 impl RequestFlow<Placed> {
-    /// The connection stands and the write begins: from here on a byte may have left.
+    /// The connection is established and the write begins: from now on a byte may have been sent.
     ///
-    /// This is recorded before the write is handed to the socket, not after it succeeded. A write
-    /// that fails half way has still let bytes out, and an endpoint may act on them.
-    pub fn write_begins(mut self) -> RequestFlow<Running> {
+    /// This is recorded before the write and not after it succeeded, because a write that fails midway may
+    /// have sent bytes on which the endpoint acts.
+    pub fn begin_write(mut self) -> RequestFlow<Running> {
         self.facts.may_have_left = true;
-        self.turn::<Running>()
+        self.into_state::<Running>()
     }
 
-    /// The connection could not be made. No byte left, so any request may try again.
+    /// The connection could not be established. No byte was sent, so that any request may be retried.
     pub fn connect_failed(self, now: ClockTime) -> NextStep {
-        self.turn::<Running>().retry_or_end(now, ResultCode::NoEndpoint, CutPlan::RerunElsewhere)
+        self.into_state::<Running>().retry_or_end(
+            now,
+            ResultCode::NoEndpoint,
+            RetryPlan::RerunElsewhere,
+        )
     }
 }
 
 impl RequestFlow<Running> {
-    /// The endpoint said itself that it refused before running. Its bytes no longer count, unless
-    /// an earlier attempt left a doubt.
+    /// The endpoint answered that it refused the request without running it. The bytes sent to it no longer
+    /// count, unless an earlier attempt may have run.
     pub fn refused_by_endpoint(mut self, now: ClockTime) -> NextStep {
         self.facts.may_have_left = self.facts.may_have_run;
-        self.retry_or_end(now, ResultCode::BudgetSpent, CutPlan::RerunElsewhere)
+        self.retry_or_end(now, ResultCode::BudgetSpent, RetryPlan::RerunElsewhere)
     }
 
-    /// A piece of the answer arrived.
-    pub fn piece(&mut self, start: u64, tokens: u64) -> PieceVerdict {
+    /// A chunk of `tokens` tokens of the answer arrived, starting at token `start`.
+    pub fn take_chunk(&mut self, start: u64, tokens: u64) -> ChunkVerdict {
         self.facts.may_have_run = true;
         let verdict = self.splice.judge(self.attempts, start, tokens);
-        if matches!(verdict, PieceVerdict::Show { .. }) {
-            self.fruitless = 0;
+        if matches!(verdict, ChunkVerdict::Deliver { .. }) {
+            self.stalled_attempts = 0;
             self.resumes = 0;
         }
         verdict
     }
 
-    /// The finish marker arrived for an answer of `total` tokens. Returns whether it is whole.
+    /// The finish marker arrived for an answer of `total` tokens. Returns whether the answer is complete.
     pub fn finish(&mut self, total: u64) -> bool {
         self.facts.may_have_run = true;
         self.facts.whole = self.splice.finish(self.attempts, total);
         self.facts.whole
     }
 
-    /// The connection broke, or the endpoint is about to end, before the answer was whole.
+    /// The connection broke, or the endpoint is about to shut down, before the answer was complete.
     ///
-    /// A stream is first asked for where it stood (no token is computed again); only when that
-    /// failed once for this endpoint is it run elsewhere. A non-idempotent request ends in doubt.
-    pub fn cut(mut self, now: ClockTime, endpoint_lives: bool) -> NextStep {
+    /// A stream is first resumed at the same endpoint, which computes no token again. If that failed once
+    /// for this endpoint, the request runs at another one. A non-idempotent request ends as uncertain.
+    pub fn connection_lost(mut self, now: ClockTime, endpoint_lives: bool) -> NextStep {
         self.facts.may_have_run = true;
         if self.spec.resumable && endpoint_lives && self.resumes == 0 {
             self.resumes += 1;
-            return self.retry_or_end(now, ResultCode::Uncertain, CutPlan::ResumeSame);
+            return self.retry_or_end(now, ResultCode::Uncertain, RetryPlan::ResumeSame);
         }
         self.resumes = 0;
-        self.retry_or_end(now, ResultCode::Uncertain, CutPlan::RerunElsewhere)
+        self.retry_or_end(now, ResultCode::Uncertain, RetryPlan::RerunElsewhere)
     }
 
-    /// The caller went away, or its deadline passed.
+    /// The caller disconnected, or its deadline passed.
     pub fn stop(self, code: ResultCode) -> EndState {
         if self.facts.whole {
             return EndState::Complete;
         }
-        self.ending(code)
+        self.end_state(code)
     }
 
-    fn retry_or_end(self, now: ClockTime, code: ResultCode, plan: CutPlan) -> NextStep {
+    fn retry_or_end(self, now: ClockTime, code: ResultCode, plan: RetryPlan) -> NextStep {
         if self.facts.whole {
             return NextStep::Ended(EndState::Complete);
         }
         if now >= self.spec.deadline {
-            let ending = self.ending(ResultCode::DeadlinePassed);
-            return NextStep::Ended(ending);
+            let end_state = self.end_state(ResultCode::DeadlinePassed);
+            return NextStep::Ended(end_state);
         }
-        // The rule that keeps a batch code from being issued twice: past a doubt, only a request
-        // that may run twice is sent again.
-        let doubtful = self.facts.may_have_left || self.facts.may_have_run;
-        if doubtful && !self.spec.idempotent {
-            return NextStep::Ended(EndState::Doubtful(ResultCode::Uncertain));
+        // A request that may have run is retried only if it may run twice. This keeps a batch code from being
+        // issued twice.
+        let uncertain = self.facts.may_have_left || self.facts.may_have_run;
+        if uncertain && !self.spec.idempotent {
+            return NextStep::Ended(EndState::Uncertain(ResultCode::Uncertain));
         }
-        if self.fruitless >= self.spec.most_attempts {
-            let ending = self.ending(code);
-            return NextStep::Ended(ending);
+        if self.stalled_attempts >= self.spec.max_attempts {
+            let end_state = self.end_state(code);
+            return NextStep::Ended(end_state);
         }
-        NextStep::Again { flow: self.turn::<Admitted>(), plan }
+        NextStep::Again { flow: self.into_state::<Admitted>(), plan }
     }
 }
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -4,7 +4,7 @@
 
 use crate::drive::{AttemptOutcome, CallContext};
 use crate::events::event;
-use crate::suspects::BrokenAttempt;
+use crate::suspects::FailedAttempt;
 use crate::work::{AnswerWait, WorkGuard};
 use crate::{releases, stream, suspects, whole, words};
 use actix_http::{RequestHead, ResponseHead, Version};
@@ -65,7 +65,7 @@
         if self.record.sent() == 0 {
             self.node.note_demand(&self.service, |demand| demand.sent += 1);
         }
-        let route = releases::told_route(self.node, &self.service, &self.route().name);
+        let route = releases::evidence_route(self.node, &self.service, &self.route().name);
         let waits = (self.expected_wait(&choice), route);
         let mut work = WorkGuard::begin(self.node, target.key, choice.unread, waits);
         let outcome = self.send_and_read(&target, &mut work).await;
@@ -105,8 +105,8 @@
         let at = self.node.clock.now();
         let ran = TimeSpan(sent_at.elapsed().as_millis() as u64);
         let times = AttemptTimes { sent_at: at - ran, last_answer_at, at };
-        let may_look = was_cut && takes_work.is_some();
-        let broken = BrokenAttempt { life, address, times, may_look };
+        let may_probe = was_cut && takes_work.is_some();
+        let broken = FailedAttempt { life, address, times, may_probe };
         suspects::note_broken(self.node, self.fingerprint, broken);
     }
 
@@ -167,7 +167,7 @@
 
     /// Counts the attempt by its endpoint's version, if this process handles roll-outs.
     fn count_version(&self, target: &AttemptTarget, outcome: &AttemptOutcome) {
-        if !releases::are_served(self.node) {
+        if !releases::are_rollouts_enabled(self.node) {
             return;
         }
         let end = match outcome {
@@ -314,11 +314,11 @@
         let ended = || LinkError::Interrupted(io::ErrorKind::ConnectionReset.into());
         for _ in 0..=MAX_FOREIGN {
             let sent = slot.as_mut().ok_or_else(exhausted)?;
-            let reading = self.node.while_lives(key, sent.read_head());
+            let reading = self.node.run_until_replaced(key, sent.read_head());
             let head = timeout_at(limit, reading).await.map_err(late)?.ok_or_else(ended)??;
             let mark = self.node.dialect.parse_answer(&head);
             let sent = slot.take().ok_or_else(exhausted)?;
-            words::hear(self.node, (key, &mark), (&self.call.id, asked_at));
+            words::apply_answer_mark(self.node, (key, &mark), (&self.call.id, asked_at));
             if mark.belongs_to(&self.call.id) {
                 return Ok((sent, head, mark));
             }
@@ -390,7 +390,7 @@
             LinkError::Interrupted(_) | LinkError::Malformed(_) => AnswerGrade::Bad,
         };
         self.note_failure(target, work, grade);
-        if suspects::is_closed(fault) && self.node.takes_work(target.key) {
+        if suspects::is_port_closed(fault) && self.node.takes_work(target.key) {
             suspects::note_ended(self.node, &target.life, "port closed");
         }
         event!(self.node, AttemptFault;
--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -8,7 +8,7 @@
 use crate::ingress::CallerRequest;
 use crate::limits::{self, QuotaCharge};
 use crate::node::FrontNode;
-use crate::releases::TriedPayment;
+use crate::releases::CandidatePayment;
 use crate::suspects;
 use crate::trace::{CallTrace, TraceGuard};
 use actix_http::header::HeaderMap;
@@ -74,7 +74,7 @@
     /// Fingerprint of the content, by which a repeated request is recognized.
     pub fingerprint: RequestFingerprint,
     /// Charge for an attempt on the version that is being rolled out; none if it goes to a version in service.
-    pub(crate) rollout_payment: Option<TriedPayment>,
+    pub(crate) rollout_payment: Option<CandidatePayment>,
     /// When the request times out.
     pub deadline: Instant,
     /// ID of the last stream event that the caller has received.
@@ -255,7 +255,7 @@
 
     async fn serve(&mut self) -> CallOutcome {
         loop {
-            let Some(choice) = self.choose_lane().await else {
+            let Some(choice) = self.choose_for_rollout().await else {
                 return self.refuse_unplaced().await;
             };
             if let Some(retry_in) = self.overload_retry_after(&choice) {
@@ -268,7 +268,7 @@
                 AttemptOutcome::Delivered => return Ok(()),
                 AttemptOutcome::CallerGone => return Err(io::ErrorKind::ConnectionAborted.into()),
                 AttemptOutcome::Ended(end, received) => {
-                    self.leave_lane(end);
+                    self.refund_unrun_attempt(end);
                     if let Some(outcome) = self.decide_next(end, received).await {
                         return outcome;
                     }
--- a/crates/front/src/limits/keeper.rs
+++ b/crates/front/src/limits/keeper.rs
@@ -18,7 +18,7 @@
         let past = PriorLedger::Reported { windows, lasts: PROMISE_LIFETIME };
         begin_ledger_from(node, mesh, past, "told");
     } else {
-        node.ledger_waits.notify_one();
+        node.ledger_wanted.notify_one();
     }
 }
 
--- a/crates/front/src/limits/pay.rs
+++ b/crates/front/src/limits/pay.rs
@@ -1,7 +1,7 @@
 //! Charges requests to this process's allotments, and asks the ledger for more when these are used up.
 
 use crate::events::event;
-use crate::mesh::{answer_ask, pool_limit};
+use crate::mesh::{answer_limit_ask, pool_limit};
 use crate::node::FrontNode;
 use oleander_call::{AccountRule, CallHead, TokenCount};
 use oleander_kind::{AccountName, TimeSpan};
@@ -118,7 +118,7 @@
     if let Some(left) = full_for(node, charge) {
         return Err(ChargeError::Full(left));
     }
-    if node.clock.now() < node.ask_after.get() {
+    if node.clock.now() < node.ledger_retry_at.get() {
         return Err(ChargeError::Unreached);
     }
     let began = Instant::now();
@@ -148,7 +148,7 @@
     let Some(allotment) =
         send_claim(node, AccountClaim { account: charge.account.clone(), claim }).await
     else {
-        node.ask_after.set(node.clock.now() + ASK_BACKOFF);
+        node.ledger_retry_at.set(node.clock.now() + ASK_BACKOFF);
         return Err(ChargeError::Unreached);
     };
     let times = (claimed_at, node.clock.lease_now());
@@ -169,7 +169,7 @@
             if mesh.has_ledger() { None } else { Some(mesh.ledger_address(node.clock.now())?) };
         (address, ask)
     };
-    let Some(address) = collector else { return answer_ask(node, &ask) };
+    let Some(address) = collector else { return answer_limit_ask(node, &ask) };
     let call = CallPeer { address, body: MeshBody::RequestLimit(ask), limit: ASK_TIMEOUT };
     match node.peers.get()?.send(call).await {
         Ok(Ok(MeshBody::Allotted(allotment))) => allotment.map(|allotment| *allotment),
--- a/crates/front/src/mesh/collect.rs
+++ b/crates/front/src/mesh/collect.rs
@@ -1,14 +1,14 @@
-//! Collecting: answers the reports of the others while it is this process's turn.
+//! The collector's side: answers the reports of the other processes.
 
-use super::account::collect_measured;
+use super::account::collect_and_measure;
 use super::parts::fetch_list;
 use super::state::{MeshState, followed_collector};
-use super::{end_after_sleep, pool_limit};
+use super::{end_collecting_after_stall, pool_limit};
 use crate::events::event;
 use crate::node::FrontNode;
 use crate::roster;
-use crate::rules::take_rules;
-use crate::words::{self, ReporterStand};
+use crate::rules::apply_rules;
+use crate::words::{self, ReporterState};
 use crate::{limits, releases, suspects};
 use oleander_call::RuleSet;
 use oleander_kind::{AccountName, ResultCode, TimeSpan};
@@ -25,7 +25,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// The limit of an account of `rules`; none if it has none.
+/// The limit of an account of `rules`; `None` if it has none.
 pub(crate) fn limit_by_name(
     node: &FrontNode,
     rules: &RuleSet,
@@ -33,11 +33,11 @@
 ) -> Option<PoolLimit> {
     match rules.accounts().iter().find(|account| account.name == *name) {
         Some(account) => pool_limit(node, account),
-        None => releases::limit_of(node, name),
+        None => releases::exposure_limit_of(node, name),
     }
 }
 
-/// Answers the reports of the others.
+/// Answers messages of the other processes.
 pub struct MeshPeers(pub Rc<FrontNode>);
 
 impl PeerHandler<MeshBody> for MeshPeers {
@@ -47,16 +47,16 @@
                 if report.roster_update == Some(RosterUpdate::InParts) {
                     fetch_list(&self.0, report.member.address, report.roster.mark());
                 }
-                collect_measured(&self.0, *report)
+                collect_and_measure(&self.0, *report)
             }
             MeshBody::RequestPart(ask) => {
                 let now = self.0.clock.now();
                 let part = self.0.roster.borrow().part(&ask, now);
                 MeshBody::Part(Box::new(part))
             }
-            MeshBody::Greet(member) => greeted(&self.0, member),
+            MeshBody::Greet(member) => answer_greeting(&self.0, member),
             MeshBody::RequestLimit(ask) => {
-                MeshBody::Allotted(answer_ask(&self.0, &ask).map(Box::new))
+                MeshBody::Allotted(answer_limit_ask(&self.0, &ask).map(Box::new))
             }
             MeshBody::Digest(_)
             | MeshBody::Allotted(_)
@@ -69,8 +69,8 @@
     }
 }
 
-/// Answers a process that looks for the others.
-fn greeted(node: &FrontNode, member: MemberInfo) -> MeshBody {
+/// Answers a process that looks for members.
+fn answer_greeting(node: &FrontNode, member: MemberInfo) -> MeshBody {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
     mesh.view.take(member, true, now);
@@ -78,20 +78,20 @@
     let members = me.chain(mesh.view.others().cloned()).collect();
     let collector = match followed_collector(&mesh, now) {
         Some(member) => Some(member),
-        // One that has others to collect for; a process that just began has only itself.
+        // This process, if it collects for others. A process that just started knows only itself.
         None if mesh.view.serving() > 1 && mesh.view.collects() => Some(mesh.view.me().clone()),
         None => None,
     };
     MeshBody::Members(MemberList { members, collector })
 }
 
-/// Takes a report as the collector.
+/// Applies a report as the collector, and answers it.
 pub(super) fn collect(node: &FrontNode, report: NodeReport) -> MeshBody {
-    end_after_sleep(node);
+    end_collecting_after_stall(node);
     let now = node.clock.now();
-    take_feeds(node, &report);
-    suspects::take_notes(node, &report.suspects);
-    words::take_told(node, &report.words, TimeSpan(0));
+    apply_feed_state(node, &report);
+    suspects::apply_notes(node, &report.suspects);
+    words::apply_peer_signals(node, &report.words, TimeSpan(0));
     let suspects = node.suspects.borrow();
     let known = node.rules.borrow();
     let rules = known.current();
@@ -109,8 +109,8 @@
         return MeshBody::Follow(member);
     }
     if mesh.collector.is_none() {
-        let told = told_verdicts(node);
-        mesh.collector = Some(MeshCollector::begin(now).with_verdicts(told.into_iter()));
+        let verdicts = received_verdicts(node);
+        mesh.collector = Some(MeshCollector::begin(now).with_verdicts(verdicts.into_iter()));
         limits::begin_ledger(node, &mut mesh);
         event!(node, CollectingBegan; "members" => mesh.view.serving());
     }
@@ -130,32 +130,32 @@
         rules_text: known.text(),
         rules_status: known.status(now),
         roster: &roster,
-        source: node.own_source,
+        source: node.incarnation_id,
         limit_of: &limit_of,
         reported_window: mesh.reported_window,
         peaks: mesh.peaks.clone(),
         paces: mesh.paces.clone(),
         suspects: &suspects,
         lease: mesh.lease.clone(),
-        releases: node.releases.borrow().news(now),
+        releases: node.releases.borrow().summary(now),
         oldest_term: settled_term(true_now),
         now,
     };
-    let status = ReporterStand::of(&report, facts.oldest_term);
+    let reporter = ReporterState::of(&report, facts.oldest_term);
     let MeshState { view, collector, .. } = &mut *mesh;
     match collector {
         Some(collector) => {
             let mut digest = collector.take(report, view, &facts);
-            words::answer_words(node, (&status, view), collector, &mut digest);
+            words::add_endpoint_signals(node, (&reporter, view), collector, &mut digest);
             MeshBody::Digest(Box::new(digest))
         }
         None => MeshBody::Leaving(view.me().clone()),
     }
 }
 
-/// Answers a process that is short of room of an account; none if no ledger is here.
-pub(crate) fn answer_ask(node: &FrontNode, ask: &LimitRequest) -> Option<PoolAllotment> {
-    end_after_sleep(node);
+/// Answers a process that needs more of an account's limit; `None` if this process has no ledger.
+pub(crate) fn answer_limit_ask(node: &FrontNode, ask: &LimitRequest) -> Option<PoolAllotment> {
+    end_collecting_after_stall(node);
     let known = node.rules.borrow();
     let rules = known.current()?;
     let limit = limit_by_name(node, rules, &ask.claim.account)?;
@@ -165,8 +165,8 @@
     collector.as_mut()?.ask(ask, (&limit, view.serving()), now)
 }
 
-/// The endpoints that this process was told to set aside.
-fn told_verdicts(node: &FrontNode) -> Vec<EndpointVerdict> {
+/// The verdicts on endpoints that this process received from the former collector.
+fn received_verdicts(node: &FrontNode) -> Vec<EndpointVerdict> {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
     let verdict = |fact: &EndpointFact| {
@@ -177,7 +177,8 @@
     board.iter().filter_map(|(_, fact)| verdict(fact)).collect()
 }
 
-/// Takes what `report` tells of endpoints, and compares them with one another if it is time.
+/// Records the evidence of `report` about endpoints, and compares the endpoints with one another
+/// when it is due.
 fn judge_endpoints(node: &FrontNode, collector: &mut MeshCollector, report: &NodeReport) {
     let now = node.clock.now();
     let board = node.endpoints.borrow();
@@ -186,8 +187,8 @@
         fact.is_some_and(|fact| IncarnationTag::of(fact.entry.life) == *life)
     };
     if !collector.is_repeated(report) {
-        releases::note_evidence(node, report);
-        releases::note_sent(node, &report.demand, collector.previous_demand(report));
+        releases::record_evidence(node, report);
+        releases::record_sent(node, &report.demand, collector.previous_demand(report));
     }
     let left_out = collector.note_evidence(report, knows, now);
     if left_out > 0 {
@@ -221,11 +222,11 @@
     }
 }
 
-/// Takes what a reporter knows of rules and endpoints, or that the store has spoken to it for what
-/// is known here.
-fn take_feeds(node: &FrontNode, report: &NodeReport) {
+/// Applies the rules and the endpoint list of a reporter, or only the time at which the store last
+/// confirmed them to it.
+fn apply_feed_state(node: &FrontNode, report: &NodeReport) {
     if let Some(rules) = &report.rules_text {
-        take_rules(node, rules);
+        apply_rules(node, rules);
     }
     if report.member.id == node.settings.instance {
         return;
@@ -233,12 +234,12 @@
     let late = {
         let (now, mesh) = (node.clock.now(), node.mesh.borrow());
         let true_now = mesh.clock.read(now, node.clock.wall());
-        let unheard = || wall_lag(report.wall, true_now);
-        mesh.collector.as_ref().map_or_else(unheard, |c| c.report_delay(report, true_now, now))
+        let clock_lag = || wall_lag(report.wall, true_now);
+        mesh.collector.as_ref().map_or_else(clock_lag, |c| c.report_delay(report, true_now, now))
     };
     node.rules.borrow_mut().merge_freshness(&report.rules, late, node.clock.now());
     match &report.roster_update {
-        Some(update) => roster::take_peer_update(node, update, (&report.roster, late), None),
-        None => roster::take_peer_vouch(node, &report.roster, late),
+        Some(update) => roster::apply_peer_update(node, update, (&report.roster, late), None),
+        None => roster::apply_peer_vouch(node, &report.roster, late),
     }
 }
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -1,7 +1,7 @@
-//! What this process tells the collector.
+//! Builds the report of this process to the collector.
 
 use super::state::MeshState;
-use crate::evidence::own_evidence;
+use crate::evidence::report_evidence;
 use crate::node::FrontNode;
 use crate::{releases, words};
 use oleander_kind::{AccountName, ClockTime, ServiceName, TimeSpan};
@@ -10,34 +10,34 @@
     AccountClaim, EndpointHash, EndpointLoad, LedgerHandover, NodeReport, NodeUsage, ServiceDemand,
     ServicePace, UsageCount, signals_hash,
 };
-use oleander_pace::PaceBook;
+use oleander_pace::PaceEstimator;
 
-/// What a report says of limits.
-pub(super) enum LimitNews {
-    /// Nothing: it goes to a process that may not collect.
+/// What a report contains about limits.
+pub(super) enum LimitContent {
+    /// Nothing, because the receiver may not be the collector.
     Nothing,
-    /// Claims, and the ledger that this process kept until now if it kept one.
+    /// Claims, and the ledger to hand over if this process kept one until now.
     Claims(Option<LedgerHandover>),
 }
 
-/// This process's report.
-pub(super) fn make_report(node: &FrontNode, news: LimitNews) -> NodeReport {
+/// Builds the report.
+pub(super) fn make_report(node: &FrontNode, news: LimitContent) -> NodeReport {
     let (with_claims, handed) = match news {
-        LimitNews::Nothing => (false, None),
-        LimitNews::Claims(handed) => (true, handed),
+        LimitContent::Nothing => (false, None),
+        LimitContent::Claims(handed) => (true, handed),
     };
     let mesh = node.mesh.borrow();
     let now = node.clock.lease_now();
-    releases::hold_tried(node);
+    releases::reserve_candidates(node);
     let mut limits = node.limits.borrow_mut();
     let claims = with_claims.then(|| limits.claims(now).into_iter().map(claim_of).collect());
     let usage = node.usage.borrow().counts().map(usage_of).collect();
     let roster = node.roster.borrow();
-    let lacked = |theirs| roster.update_for(theirs, None, node.own_source);
-    let roster_update = mesh.wants_roster.as_ref().map(lacked);
+    let update_for_collector = |theirs| roster.update_for(theirs, None, node.incarnation_id);
+    let roster_update = mesh.wants_roster.as_ref().map(update_for_collector);
     let mut suspects = node.suspects.borrow_mut();
     let rules_text = mesh.wants_rules.then(|| node.rules.borrow().text().cloned()).flatten();
-    let (evidence, route_evidence) = own_evidence(node);
+    let (evidence, route_evidence) = report_evidence(node);
     NodeReport {
         member: mesh.view.me().clone(),
         wall: node.clock.wall(),
@@ -55,30 +55,30 @@
         demand: own_demand(node),
         paces: own_paces(node),
         evidence,
-        words: words::next_told(node),
-        signals_hash: signals_hash(&words::known_words(node)),
+        words: words::next_reported(node),
+        signals_hash: signals_hash(&words::known_signals(node)),
         route_evidence,
         releases: node.releases.borrow().book.followed(),
         suspects: suspects.next_told(node.clock.now()),
         suspects_hash: suspects.shared_hash(),
-        inherited_usage: heritage_of(&mesh, node.clock.now()),
+        inherited_usage: inherited_usage(&mesh, node.clock.now()),
         unreached: mesh.view.unreached(node.clock.now()),
         rules_text,
         roster_update,
     }
 }
 
-/// The counts of other processes that the next collector has to know.
+/// The usage counts of other processes that the next collector needs.
 ///
-/// A process that stopped has told its last counts to the collector alone. If that stops as well
-/// before the window is reported, they would be lost with it.
-fn heritage_of(mesh: &MeshState, now: ClockTime) -> Vec<NodeUsage> {
-    /// Long enough for the successor to be chosen and heard.
-    const PASSED_ON: TimeSpan = TimeSpan(3000);
+/// A process that stopped has sent its last counts to the collector alone. If the collector stops
+/// as well before the window is reported, they would be lost with it.
+fn inherited_usage(mesh: &MeshState, now: ClockTime) -> Vec<NodeUsage> {
+    /// Long enough for the successor to be chosen and to receive a report.
+    const INHERITED_RETENTION: TimeSpan = TimeSpan(3000);
     let leaving = mesh.view.me().leaving;
     match (&mesh.collector, &mesh.inherited_usage) {
         (Some(collector), _) if leaving => collector.usage(),
-        (_, Some((usage, since))) if now - *since < PASSED_ON => usage.clone(),
+        (_, Some((usage, since))) if now - *since < INHERITED_RETENTION => usage.clone(),
         _ => Vec::new(),
     }
 }
@@ -104,7 +104,7 @@
 
 fn own_paces(node: &FrontNode) -> Vec<ServicePace> {
     let paces = node.paces.borrow();
-    let pace = |(service, book): (&ServiceName, &PaceBook)| {
+    let pace = |(service, book): (&ServiceName, &PaceEstimator)| {
         Some(ServicePace { service: service.clone(), read: book.pace()? })
     };
     paces.iter().filter_map(pace).collect()
--- a/crates/mesh/src/evidence.rs
+++ b/crates/mesh/src/evidence.rs
@@ -48,12 +48,12 @@
 impl OutlierDetector {
     /// Starts from known verdicts, so that a change of the collector does not reinstate bad
     /// endpoints.
-    pub fn begin(told: impl Iterator<Item = EndpointVerdict>, now: ClockTime) -> Self {
+    pub fn begin(verdicts: impl Iterator<Item = EndpointVerdict>, now: ClockTime) -> Self {
         let record = |verdict: EndpointVerdict| {
             let record = EjectionRecord { bad_trait: verdict.bad_trait, proved_at: now };
             ((verdict.instance, verdict.life), record)
         };
-        OutlierDetector { ejected: told.map(record).collect(), ..OutlierDetector::default() }
+        OutlierDetector { ejected: verdicts.map(record).collect(), ..OutlierDetector::default() }
     }
 
     /// Adds the observations of a report. Returns the number of those left out because they name an
@@ -103,14 +103,14 @@
         for endpoints in services {
             self.judge_one(endpoints, now, &mut ejected);
         }
-        let before = std::mem::replace(&mut self.ejected, ejected);
+        let previous = std::mem::replace(&mut self.ejected, ejected);
         let was =
-            |endpoint: &EndpointIncarnation| before.get(endpoint).map(|record| record.bad_trait);
+            |endpoint: &EndpointIncarnation| previous.get(endpoint).map(|record| record.bad_trait);
         let is = |endpoint: &EndpointIncarnation| {
             self.ejected.get(endpoint).map(|record| record.bad_trait)
         };
         let named: std::collections::BTreeSet<_> =
-            before.keys().chain(self.ejected.keys()).collect();
+            previous.keys().chain(self.ejected.keys()).collect();
         let changed = named.into_iter().filter(|endpoint| was(endpoint) != is(endpoint));
         let change = |endpoint: &EndpointIncarnation| VerdictChange {
             endpoint: endpoint.clone(),
@@ -134,7 +134,7 @@
         let evidence = |at: usize| ServiceEvidence {
             endpoint: at,
             sum: self.book.sum(&endpoints[at], now),
-            before: self.ejected.get(&endpoints[at]).map(|record| record.bad_trait),
+            previous: self.ejected.get(&endpoints[at]).map(|record| record.bad_trait),
         };
         let known: Vec<_> = (0..endpoints.len()).map(evidence).collect();
         let mut left = max_set_aside(endpoints.len());
--- a/crates/outlet/src/pool.rs
+++ b/crates/outlet/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, kept for reuse.
+//! A pool of idle connections.
 
 use crate::link::IdleLink;
 use oleander_kind::InstanceId;
@@ -17,8 +17,8 @@
 }
 
 impl LinkPool {
-    /// A connection to `instance` that is open, silent and younger than its limit; the one that was
-    /// used last, so that the others can grow old and go.
+    /// Returns a connection to `instance` that is open, has no unread bytes and is within its idle
+    /// limit: the most recently used one, so that the others can expire.
     pub fn take(&mut self, instance: &InstanceId) -> Option<IdleLink> {
         let links = self.links.get_mut(instance)?;
         while let Some(pooled) = links.pop() {
@@ -29,40 +29,44 @@
         None
     }
 
-    /// Keeps `link` for at most `keep`, unless `most` to `instance` are kept already.
-    pub fn put(&mut self, instance: &InstanceId, link: IdleLink, keep: Duration, most: usize) {
+    /// Stores `link` for at most `keep`, unless `max_idle` connections to `instance` are stored
+    /// already.
+    pub fn put(&mut self, instance: &InstanceId, link: IdleLink, keep: Duration, max_idle: usize) {
         let links = self.links.entry(instance.clone()).or_default();
-        if links.len() < most {
+        if links.len() < max_idle {
             links.push(PooledLink { link, keep });
         }
     }
 
-    /// Closes those to `instance`.
+    /// Closes all connections to `instance`.
     pub fn forget(&mut self, instance: &InstanceId) {
         self.links.remove(instance);
     }
 
-    /// Closes what is too old, closed by its endpoint, or to an endpoint that `stays` denies.
-    pub fn sweep(&mut self, stays: impl Fn(&InstanceId) -> bool) {
+    /// Closes connections that expired, were closed by the endpoint, or lead to an instance that is
+    /// not live according to `is_live`.
+    pub fn sweep(&mut self, is_live: impl Fn(&InstanceId) -> bool) {
         self.links.retain(|instance, links| {
             links.retain(|pooled| {
-                pooled.link.idle_for() < pooled.keep && pooled.link.is_reusable() && stays(instance)
+                pooled.link.idle_for() < pooled.keep
+                    && pooled.link.is_reusable()
+                    && is_live(instance)
             });
             !links.is_empty()
         });
     }
 
-    /// Closes all.
+    /// Closes all connections.
     pub fn clear(&mut self) {
         self.links.clear();
     }
 
-    /// How many connections are kept.
+    /// Number of stored connections.
     pub fn len(&self) -> usize {
         self.links.values().map(Vec::len).sum()
     }
 
-    /// Whether none is kept.
+    /// Whether the pool is empty.
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
--- a/tests/all/evidence.rs
+++ b/tests/all/evidence.rs
@@ -3,7 +3,7 @@
 use crate::mesh::{CollectorRig, NOW, TRUE_NOW, report, rig};
 use crate::place::entry_of;
 use arbtest::arbtest;
-use oleandertack::front::evidence::EvidenceOutbox;
+use oleandertack::front::evidence::EvidenceBuffer;
 use oleandertack::judge::{
     AnswerSample, BadTrait, EvidenceAggregate, EvidenceTally, ServiceEvidence, judge_service,
 };
@@ -240,7 +240,7 @@
 fn unreported_evidence_expires() {
     let mut board = EndpointBoard::default();
     let key = board.put(entry_of("i-0", "kopli"));
-    let mut outbox = EvidenceOutbox::default();
+    let mut outbox = EvidenceBuffer::default();
     let at = |ms| ClockTime(START + ms);
     outbox.next(at(0));
 
@@ -249,7 +249,7 @@
     assert_eq!(outbox.next(at(600)).get(&key).map(|tally| tally.failed), Some(1));
     outbox.note(key, AnswerSample::Failed);
     assert_eq!(outbox.next(at(1200)).get(&key).map(|tally| tally.failed), Some(1));
-    outbox.taken();
+    outbox.confirm_report();
     assert!(outbox.next(at(1300)).is_empty());
 }
 
@@ -259,13 +259,13 @@
 fn an_overdue_answer_counts_once() {
     let mut board = EndpointBoard::default();
     let key = board.put(entry_of("i-0", "kopli"));
-    let mut outbox = EvidenceOutbox::default();
+    let mut outbox = EvidenceBuffer::default();
     let at = |ms| ClockTime(START + ms);
     let ticket = outbox.wait(key, at(500));
 
     assert!(outbox.next(at(400)).is_empty());
     assert_eq!(outbox.next(at(600)).get(&key).map(|tally| tally.failed), Some(1));
-    outbox.taken();
+    outbox.confirm_report();
     outbox.settle(ticket, Some(AnswerSample::Failed));
     assert!(outbox.next(at(700)).is_empty());
 }
@@ -297,7 +297,7 @@
             let slowness = f32::from(came) * u.int_in_range(-4..=4_i8)? as f32;
             book.note(at, EvidenceTally { came, failed, slowness }, now);
         }
-        let known = |at| ServiceEvidence { endpoint: at, sum: book.sum(&at, now), before: None };
+        let known = |at| ServiceEvidence { endpoint: at, sum: book.sum(&at, now), previous: None };
         let known: Vec<_> = (0..count).map(known).collect();
 
         let aside = judge_service(&known);
