--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -367,8 +367,8 @@
         // A connection to an incarnation that has ended is of no use to the next one.
         let lives = self.node.endpoints.borrow().get(target.key).is_some();
         if let Some(link) = link.filter(|_| lives) {
-            let said = mark.keeps_idle.map(|span| span.duration().mul_f64(IDLE_FRACTION));
-            let keep = said.unwrap_or(IDLE_TIMEOUT);
+            let announced = mark.keeps_idle.map(|span| span.duration().mul_f64(IDLE_FRACTION));
+            let keep = announced.unwrap_or(IDLE_TIMEOUT);
             self.node.pool.borrow_mut().put(&target.life.instance, link, keep, MAX_IDLE_LINKS);
         }
         outcome
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -139,22 +139,22 @@
 
 async fn act_on_lease(node: &FrontNode, lease: &DutyLease, action: LeaseAction) {
     let held = lease.fence().is_some();
-    let said = match action {
+    let reply = match action {
         LeaseAction::Wait => return,
         LeaseAction::Read => read_lease(node).await,
         LeaseAction::Write { version, record } => write_lease(node, version, &record).await,
     };
     let now = node.clock.lease_now();
-    lease.keeper.borrow_mut().said(said, now);
+    lease.keeper.borrow_mut().said(reply, now);
     let keeper = lease.keeper.borrow();
     let seen = keeper.seen().cloned().zip(keeper.view(now).version);
     if let Some((record, revision)) = seen {
         node.mesh.borrow_mut().lease = Some(LeaseNotice { revision, record });
     }
     drop(keeper);
-    let holds = lease.fence();
-    if held != holds.is_some() {
-        event!(node, LeaseChanged; "fence" => holds);
+    let fence = lease.fence();
+    if held != fence.is_some() {
+        event!(node, LeaseChanged; "fence" => fence);
     }
 }
 
--- a/crates/front/src/limits/keeper.rs
+++ b/crates/front/src/limits/keeper.rs
@@ -36,8 +36,8 @@
     event!(node, LedgerBegan; "by" => by, "windows" => windows.len(), "age_ms" => age);
     // Each ledger has its own id, also a second one of the same process. A ledger that has allotted nothing keeps its id
     // when it is started again, because processes that it answered already refer to it.
-    let same = collector.ledger().filter(|ledger| ledger.is_untouched());
-    let source = same.map_or_else(|| node.random(), PoolLedger::source);
+    let untouched = collector.ledger().filter(|ledger| ledger.is_untouched());
+    let source = untouched.map_or_else(|| node.random(), PoolLedger::source);
     collector.begin_ledger(PoolLedger::begin(source, past, now));
 }
 
@@ -49,12 +49,12 @@
 pub(crate) fn accept_handover(node: &FrontNode, mesh: &mut MeshState, handed: &HandedLedger) {
     let now = node.clock.now();
     let ledger = mesh.collector.as_ref().and_then(MeshCollector::ledger);
-    let stays =
+    let keeps_own =
         |ledger: &PoolLedger| !ledger.is_untouched() && ledger.member_count(now) >= handed.members;
-    if ledger.is_some_and(stays) {
+    if ledger.is_some_and(keeps_own) {
         return;
     }
-    let windows = handed.windows.iter().map(|told| (told.account.clone(), told.window.clone()));
+    let windows = handed.windows.iter().map(|entry| (entry.account.clone(), entry.window.clone()));
     begin_ledger_from(node, mesh, LedgerPast::Handed(windows.collect()), "handed");
 }
 
--- a/tests/all/errors.rs
+++ b/tests/all/errors.rs
@@ -62,7 +62,7 @@
 }
 
 #[actix_rt::test]
-async fn a_code_without_a_dated_key_is_refused() {
+async fn a_batch_code_request_without_a_dated_key_is_refused() {
     let rig = start().await;
     let url = format!("http://{}/{PLAIN}/codes", rig.entries[0].address);
     let request = awc::Client::default()
@@ -77,7 +77,7 @@
 }
 
 #[actix_rt::test]
-async fn with_every_endpoint_gone_callers_are_told_at_once_and_truly() {
+async fn without_endpoints_callers_are_refused_at_once_as_not_run() {
     // Guards against an "uncertain" answer where "not run" (1008 or 1015) is certain: every engine was
     // ended without notice, and the entry's connections are refused, so no byte was sent.
     let rig = start().await;
--- a/tests/all/front.rs
+++ b/tests/all/front.rs
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn a_safe_request_is_sent_again_and_one_that_must_not_repeat_is_not() {
+fn a_safe_request_is_retried_and_an_unsafe_one_is_not() {
     // The near endpoint receives the request and resets the connection, so the request may have run. A
     // safe request is retried at the far endpoint. An unsafe one must not run twice, and its caller is
     // told "uncertain" instead of "not run".
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn what_an_endpoint_refused_unrun_is_sent_to_another() {
+fn a_request_that_an_endpoint_refused_unrun_is_sent_to_another() {
     run(async {
         let refusal =
             "HTTP/1.1 503 Full\r\nX-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn refused_by_all_the_caller_is_told_not_run_and_when_to_come_back() {
+fn a_request_refused_by_all_endpoints_gets_not_run_and_a_retry_time() {
     run(async {
         let refusal =
             "HTTP/1.1 503 Full\r\nX-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_goes_on_elsewhere_from_the_last_whole_event() {
+fn a_broken_stream_is_resumed_elsewhere_after_the_last_complete_event() {
     // The first endpoint resets the connection in the middle of its third event. The caller must get one
     // answer with the first endpoint's head and each event once.
     run(async {
@@ -459,7 +459,7 @@
 }
 
 #[test]
-fn a_stream_that_cannot_go_on_does_not_look_whole() {
+fn a_stream_that_cannot_be_resumed_does_not_look_complete() {
     run(async {
         let near =
             scripted(vec![vec![say(&stream_head("one")), say(&chunk(&events(1, 2))), Act::Reset]])
@@ -529,7 +529,7 @@
 }
 
 #[test]
-fn a_stopping_process_serves_until_the_balancer_knows_and_cuts_nothing() {
+fn a_stopping_process_serves_until_the_balancer_has_removed_it_and_cancels_nothing() {
     // While it stops, the process answers with `Connection: close` until the load balancer has removed it.
     // Later requests are refused as not run at once, so that none is cut off when the process ends.
     run(async {
--- a/tests/all/trace.rs
+++ b/tests/all/trace.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_overload_does_not_flood_the_log_and_what_is_left_out_is_counted() {
+fn an_overload_does_not_flood_the_log_and_dropped_lines_are_counted() {
     let budget = EventBudget::default();
     let start = ClockTime(5000);
     let kind = EventKind::RequestDone;
