--- a/crates/edge/src/admit.rs
+++ b/crates/edge/src/admit.rs
@@ -9,7 +9,7 @@
 use oleander_board::StopStage;
 use oleander_bundle::SignedBundle;
 use oleander_kind::hash::digest_bytes;
-use oleander_kind::ident::write_uuid_v7;
+use oleander_kind::ident::format_uuid_v7;
 use oleander_kind::{AccountName, ClockTime, RequestId, ResultCode, TimeSpan};
 use oleander_limit::{AccountLimits, LimitVerdict};
 use std::rc::Rc;
@@ -82,7 +82,7 @@
     let key = header(request, "idempotency-key");
     if key.is_empty() {
         let random = (u128::from(node.random()) << 64) | u128::from(node.random());
-        return Ok(RequestId::from(write_uuid_v7(node.clock.wall().0, random).as_str()));
+        return Ok(RequestId::from(format_uuid_v7(node.clock.wall().0, random).as_str()));
     }
     RequestId::parse(key).ok_or_else(|| {
         let detail = "the idempotency key must be 1 to 128 letters, digits, or - _ . :";
--- a/crates/edge/src/chat.rs
+++ b/crates/edge/src/chat.rs
@@ -71,7 +71,7 @@
         return again;
     }
     node.meter.count_request(ask.service.as_str());
-    let tokens = ask.head.prompt_tokens() + u64::from(ask.head.wanted_tokens());
+    let tokens = ask.head.prompt_tokens() + u64::from(ask.head.output_token_limit());
     count_limits(node, &caller, tokens, &ask.id)?;
     node.step(EntryStep::Admitted).await;
     node.earn_retry(&ask.service);
--- a/crates/edge/src/drive.rs
+++ b/crates/edge/src/drive.rs
@@ -221,7 +221,7 @@
 }
 
 async fn pass_half(node: &EntryNode, job: &StreamJob, passed: &mut bool) {
-    if !*passed && 2 * job.live.shown() >= u64::from(job.head.wanted_tokens()) {
+    if !*passed && 2 * job.live.shown() >= u64::from(job.head.output_token_limit()) {
         *passed = true;
         node.step(EntryStep::MidStream).await;
     }
--- a/crates/edge/src/lists.rs
+++ b/crates/edge/src/lists.rs
@@ -3,7 +3,7 @@
 use crate::node::EntryNode;
 use crate::peers::{is_relay, news_targets};
 use compact_str::CompactString;
-use oleander_kind::hash::{HASH_START, stable_hash};
+use oleander_kind::hash::{HASH_SEED, stable_hash};
 use oleander_kind::{ClockTime, EndpointRecord, TimeSpan};
 use oleander_list::{ListChange, ListSummary};
 use oleander_plat::{EndpointList, HttpList};
@@ -85,7 +85,7 @@
     if change.is_empty() {
         return;
     }
-    let seed = stable_hash(HASH_START, &change.stamp.0.to_le_bytes());
+    let seed = stable_hash(HASH_SEED, &change.stamp.0.to_le_bytes());
     for target in news_targets(node, seed) {
         let node = node.clone();
         let body = PeerBody::ListNews { change: change.clone() };
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 use oleander_board::StopStage;
 use oleander_claim::{ClaimKey, ClaimVerdict, claim_key};
-use oleander_kind::hash::{HASH_START, mix_bits, rendezvous_weight, stable_hash};
+use oleander_kind::hash::{HASH_SEED, mix_bits, rendezvous_weight, stable_hash};
 use oleander_kind::{AccountName, ClockTime, InstanceId, ResultCode, TimeSpan};
 use oleander_limit::DemandReport;
 use oleander_member::{MemberAction, MemberStage, owner_of};
@@ -344,7 +344,7 @@
 pub fn stands_by(node: &EntryNode, service: &str) -> bool {
     const STANDBYS: usize = 3;
     let members = node.members.borrow();
-    let key = stable_hash(HASH_START, service.as_bytes());
+    let key = stable_hash(HASH_SEED, service.as_bytes());
     oleander_member::ranked(&members, key, STANDBYS).iter().any(|member| member.id == *node.me())
 }
 
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -59,7 +59,7 @@
                 "type": code.name(),
                 "message": code.text(),
                 "detail": self.detail,
-                "not_run": code.says_not_run(),
+                "not_run": code.guarantees_not_run(),
                 "retry_after_ms": self.retry_ms,
                 "request_id": self.id,
             }
--- a/crates/explore/src/search.rs
+++ b/crates/explore/src/search.rs
@@ -1,6 +1,6 @@
 //! The search.
 
-use oleander_kind::hash::{HASH_START, stable_hash};
+use oleander_kind::hash::{HASH_SEED, stable_hash};
 use std::collections::{HashMap, VecDeque};
 use std::fmt::Debug;
 
@@ -47,7 +47,7 @@
 /// out of the question.
 fn state_key<M: SearchModel>(model: &M, state: &M::State) -> StateKey {
     let text = model.identity(state);
-    (stable_hash(HASH_START, text.as_bytes()), stable_hash(!HASH_START, text.as_bytes()))
+    (stable_hash(HASH_SEED, text.as_bytes()), stable_hash(!HASH_SEED, text.as_bytes()))
 }
 
 type StateKey = (u64, u64);
--- a/crates/flow/src/life.rs
+++ b/crates/flow/src/life.rs
@@ -136,7 +136,7 @@
     /// repeat a batch code that was already printed.
     fn ending(&self, code: ResultCode) -> EndState {
         let untouched = !self.facts.may_have_left && !self.facts.may_have_run;
-        match (code.says_not_run(), untouched) {
+        match (code.guarantees_not_run(), untouched) {
             (true, true) => EndState::Refused(code),
             (true, false) if code == ResultCode::DeadlineNotRun => {
                 EndState::Doubtful(ResultCode::DeadlinePassed)
--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -19,7 +19,7 @@
     AccountRule, AttemptEnd, AttemptRecord, CallHead, NextStep, RouteKey, RouteRule, RuleSet,
     RuleView, admit_call,
 };
-use oleander_kind::hash::{HASH_START, mix_bits, stable_hash};
+use oleander_kind::hash::{HASH_SEED, mix_bits, stable_hash};
 use oleander_kind::{AccountName, InstanceId, ResultCode, ServiceName, TimeSpan};
 use oleander_place::{
     AnswerGrade, EndpointKey, PlacementChoice, PlacementRequest, choose_endpoint, queue_limit,
@@ -232,7 +232,7 @@
 
 /// Hash of the request id, used to spread choices and retry times over requests.
 pub(crate) fn call_salt(call: &CallHead) -> u64 {
-    mix_bits(stable_hash(HASH_START, call.id.as_bytes()))
+    mix_bits(stable_hash(HASH_SEED, call.id.as_bytes()))
 }
 
 impl CallContext<'_, '_> {
@@ -336,7 +336,7 @@
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         // An attempt may have run, so a code that says "not run" would be false.
-        let code = if self.record.may_have_run() && code.says_not_run() {
+        let code = if self.record.may_have_run() && code.guarantees_not_run() {
             ResultCode::Uncertain
         } else {
             code
--- a/crates/judge/src/aggregate.rs
+++ b/crates/judge/src/aggregate.rs
@@ -25,7 +25,7 @@
 
 impl EvidenceSum {
     fn decayed(&self, now: ClockTime) -> EvidenceSum {
-        let kept = (now - self.at).part_left(HALF_LIFE);
+        let kept = (now - self.at).decay_factor(HALF_LIFE);
         EvidenceSum {
             came: self.came * kept,
             failed: self.failed * kept,
--- a/crates/kind/src/arena.rs
+++ b/crates/kind/src/arena.rs
@@ -1,13 +1,14 @@
-//! Small `Copy` keys into arenas, so that decisions pass four bytes instead of names.
+//! A generational arena. Its small `Copy` keys let routing code refer to items without cloning
+//! their names.
 
 use std::fmt;
 use std::marker::PhantomData;
 
-/// A key to one item of an [`ItemArena`]. It is valid only for the arena that made it.
+/// A key to one item of an [`ItemArena`]. It is valid only for the arena that issued it.
 pub struct ArenaKey<T> {
     slot: u32,
     generation: u32,
-    kind: PhantomData<fn() -> T>,
+    marker: PhantomData<fn() -> T>,
 }
 
 impl<T> Clone for ArenaKey<T> {
@@ -40,7 +41,7 @@
 }
 
 impl<T> ArenaKey<T> {
-    /// The slot number: dense, reused after a removal.
+    /// The slot index. Indexes are dense and are reused after a removal.
     pub fn slot(self) -> usize {
         self.slot as usize
     }
@@ -51,8 +52,8 @@
     item: Option<T>,
 }
 
-/// Items that are named by [`ArenaKey`]s. A key of a removed item finds nothing, even after its
-/// slot was used again: each reuse raises the slot's generation.
+/// A generational arena whose items are addressed by [`ArenaKey`]s. The key of a removed item finds
+/// nothing, even after its slot is reused, because each removal increments the slot's generation.
 pub struct ItemArena<T> {
     slots: Vec<ArenaSlot<T>>,
     free: Vec<u32>,
@@ -65,69 +66,69 @@
 }
 
 impl<T> ItemArena<T> {
-    /// An empty arena.
+    /// Creates an empty arena.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Keeps `item` and returns its key.
+    /// Inserts `item` and returns its key.
     pub fn insert(&mut self, item: T) -> ArenaKey<T> {
         if let Some(slot) = self.free.pop() {
-            let place = &mut self.slots[slot as usize];
-            place.item = Some(item);
-            return ArenaKey { slot, generation: place.generation, kind: PhantomData };
+            let entry = &mut self.slots[slot as usize];
+            entry.item = Some(item);
+            return ArenaKey { slot, generation: entry.generation, marker: PhantomData };
         }
         let slot = u32::try_from(self.slots.len()).unwrap_or(u32::MAX);
         self.slots.push(ArenaSlot { generation: 0, item: Some(item) });
-        ArenaKey { slot, generation: 0, kind: PhantomData }
+        ArenaKey { slot, generation: 0, marker: PhantomData }
     }
 
-    /// The item of `key`, if it is still there.
+    /// Returns the item of `key`, or `None` if it was removed.
     pub fn get(&self, key: ArenaKey<T>) -> Option<&T> {
-        let place = self.slots.get(key.slot())?;
-        if place.generation != key.generation {
+        let entry = self.slots.get(key.slot())?;
+        if entry.generation != key.generation {
             return None;
         }
-        place.item.as_ref()
+        entry.item.as_ref()
     }
 
-    /// The item of `key` for change, if it is still there.
+    /// Returns a mutable reference to the item of `key`, or `None` if it was removed.
     pub fn get_mut(&mut self, key: ArenaKey<T>) -> Option<&mut T> {
-        let place = self.slots.get_mut(key.slot())?;
-        if place.generation != key.generation {
+        let entry = self.slots.get_mut(key.slot())?;
+        if entry.generation != key.generation {
             return None;
         }
-        place.item.as_mut()
+        entry.item.as_mut()
     }
 
-    /// Takes the item of `key` out and makes the key void.
+    /// Removes and returns the item of `key`, and invalidates the key.
     pub fn remove(&mut self, key: ArenaKey<T>) -> Option<T> {
-        let place = self.slots.get_mut(key.slot())?;
-        if place.generation != key.generation {
+        let entry = self.slots.get_mut(key.slot())?;
+        if entry.generation != key.generation {
             return None;
         }
-        let item = place.item.take()?;
-        place.generation = place.generation.wrapping_add(1);
+        let item = entry.item.take()?;
+        entry.generation = entry.generation.wrapping_add(1);
         self.free.push(key.slot);
         Some(item)
     }
 
-    /// All items with their keys, by slot.
+    /// Iterates over all items and their keys in slot order.
     pub fn iter(&self) -> impl Iterator<Item = (ArenaKey<T>, &T)> {
-        self.slots.iter().enumerate().filter_map(|(slot, place)| {
-            let item = place.item.as_ref()?;
+        self.slots.iter().enumerate().filter_map(|(slot, entry)| {
+            let item = entry.item.as_ref()?;
             let key =
-                ArenaKey { slot: slot as u32, generation: place.generation, kind: PhantomData };
+                ArenaKey { slot: slot as u32, generation: entry.generation, marker: PhantomData };
             Some((key, item))
         })
     }
 
-    /// How many items are kept.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Whether no item is kept.
+    /// Returns whether the arena has no items.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/kind/src/chat.rs
+++ b/crates/kind/src/chat.rs
@@ -1,54 +1,56 @@
-//! Reads what routing needs from a chat request, without building its tree.
+//! Extracts the fields that routing needs from a chat completion request without building a JSON
+//! tree.
 //!
-//! Bodies are megabytes where a whole recipe book is rewritten, and each passes through an entry.
-//! The visitors here walk the text once: they keep the model, the few numbers, and hashes of the
-//! prompt's blocks, and allocate nothing for the messages themselves.
+//! Bodies can be megabytes long, for example when a whole recipe book is rewritten, and every body
+//! passes through an entry. The visitors in this module parse the text in one pass. They keep the
+//! model, a few numbers and the hashes of the prompt's blocks, and allocate nothing for the
+//! messages themselves.
 
-use crate::hash::{HASH_START, mix_bits};
+use crate::hash::{HASH_SEED, mix_bits};
 use compact_str::CompactString;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use std::fmt;
 
-/// Bytes of prompt text in one block, as the engines count their prefix cache.
+/// Bytes of prompt text in one block, the unit of the engines' prefix caches.
 pub const BLOCK_BYTES: usize = 64;
-/// Bytes of prompt text in one token, as the engines count.
+/// Bytes of prompt text that the engines count as one token.
 pub const TOKEN_BYTES: usize = 4;
-/// Tokens in one block.
+/// Prompt tokens in one block.
 pub const BLOCK_TOKENS: u64 = (BLOCK_BYTES / TOKEN_BYTES) as u64;
-/// Tokens generated when a request names no limit.
-pub const DEFAULT_TOKENS: u32 = 64;
+/// Output token limit of a request that does not set one.
+pub const DEFAULT_OUTPUT_TOKENS: u32 = 64;
 
-/// What routing needs of a chat request.
+/// The fields of a chat completion request that routing uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChatHead {
-    /// The model, which names a service.
+    /// The requested model, which identifies a service.
     pub model: CompactString,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requested a streamed answer.
     pub stream: bool,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate, if the request sets it.
     pub max_tokens: Option<u32>,
-    /// Hashes of the prompt's blocks, each over the whole prefix up to its end.
+    /// One hash for each full prompt block, computed over the prefix that ends with the block.
     pub blocks: Vec<u64>,
-    /// Prompt text, in bytes.
+    /// Length of the prompt text in bytes.
     pub prompt_bytes: u64,
     /// Hash of the whole prompt.
     pub prompt_hash: u64,
 }
 
 impl ChatHead {
-    /// Prompt tokens, as the engines count.
+    /// Returns the number of prompt tokens as the engines count them.
     pub fn prompt_tokens(&self) -> u64 {
         self.prompt_bytes.div_ceil(TOKEN_BYTES as u64)
     }
 
-    /// Tokens the request may generate.
-    pub fn wanted_tokens(&self) -> u32 {
-        self.max_tokens.unwrap_or(DEFAULT_TOKENS)
+    /// Returns the maximum number of tokens the request may generate.
+    pub fn output_token_limit(&self) -> u32 {
+        self.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS)
     }
 }
 
-/// Hashes prompt text block by block, eight bytes at a step: byte by byte it took most of the time
-/// of reading a request.
+/// Hashes prompt text block by block, eight bytes at a time. Hashing byte by byte took most of the
+/// time of parsing a request.
 #[derive(Debug)]
 pub struct PromptHasher {
     state: u64,
@@ -61,7 +63,7 @@
 impl Default for PromptHasher {
     fn default() -> Self {
         PromptHasher {
-            state: HASH_START,
+            state: HASH_SEED,
             block: [0; BLOCK_BYTES],
             filled: 0,
             bytes: 0,
@@ -70,70 +72,71 @@
     }
 }
 
-const WORD: usize = 8;
+const WORD_BYTES: usize = 8;
 
-fn hash_word(state: u64, word: [u8; WORD]) -> u64 {
-    const FACTOR: u64 = 0x9fb2_1c65_1e98_df25;
-    (state ^ u64::from_le_bytes(word)).wrapping_mul(FACTOR).rotate_left(29)
+fn hash_word(state: u64, word: [u8; WORD_BYTES]) -> u64 {
+    const MULTIPLIER: u64 = 0x9fb2_1c65_1e98_df25;
+    (state ^ u64::from_le_bytes(word)).wrapping_mul(MULTIPLIER).rotate_left(29)
 }
 
 fn hash_block(state: u64, block: &[u8]) -> u64 {
-    let words = block.chunks_exact(WORD);
+    let words = block.chunks_exact(WORD_BYTES);
     let tail = words.remainder();
     let state = words.fold(state, |state, chunk| {
-        let mut word = [0; WORD];
+        let mut word = [0; WORD_BYTES];
         word.copy_from_slice(chunk);
         hash_word(state, word)
     });
     if tail.is_empty() {
         return state;
     }
-    let mut word = [0; WORD];
+    let mut word = [0; WORD_BYTES];
     word[..tail.len()].copy_from_slice(tail);
     hash_word(state, word)
 }
 
 impl PromptHasher {
-    /// Adds `text` to the prompt.
+    /// Appends `text` to the prompt.
     pub fn add(&mut self, text: &str) {
         let mut rest = text.as_bytes();
         self.bytes += rest.len() as u64;
         while !rest.is_empty() {
             if self.filled == 0 && rest.len() >= BLOCK_BYTES {
                 let (block, later) = rest.split_at(BLOCK_BYTES);
-                self.close_block(block);
+                self.finish_block(block);
                 rest = later;
                 continue;
             }
-            let room = BLOCK_BYTES - self.filled;
-            let (now, later) = rest.split_at(room.min(rest.len()));
-            self.block[self.filled..self.filled + now.len()].copy_from_slice(now);
-            self.filled += now.len();
+            let remaining = BLOCK_BYTES - self.filled;
+            let (chunk, later) = rest.split_at(remaining.min(rest.len()));
+            self.block[self.filled..self.filled + chunk.len()].copy_from_slice(chunk);
+            self.filled += chunk.len();
             if self.filled == BLOCK_BYTES {
                 let block = self.block;
-                self.close_block(&block);
+                self.finish_block(&block);
                 self.filled = 0;
             }
             rest = later;
         }
     }
 
-    fn close_block(&mut self, block: &[u8]) {
+    fn finish_block(&mut self, block: &[u8]) {
         self.state = hash_block(self.state, block);
         self.blocks.push(mix_bits(self.state));
     }
 
-    /// The block hashes, the length in bytes and the hash of all.
+    /// Returns the block hashes, the prompt length in bytes and the hash of the whole prompt.
     pub fn finish(self) -> (Vec<u64>, u64, u64) {
         let tail = hash_block(self.state, &self.block[..self.filled]);
         (self.blocks, self.bytes, mix_bits(tail ^ self.bytes))
     }
 }
 
-/// Reads the head of a chat request.
+/// Parses the routing fields of a chat completion request.
 ///
 /// # Errors
-/// What is wrong with the text, with line and column.
+/// Returns the JSON error with its line and column if the body is malformed or lacks `model` or
+/// `messages`.
 pub fn read_chat_head(body: &[u8]) -> Result<ChatHead, serde_json::Error> {
     let mut reader = serde_json::Deserializer::from_slice(body);
     let head = reader.deserialize_map(HeadVisitor)?;
@@ -232,7 +235,7 @@
     }
 }
 
-/// Message content: text, nothing, or a list of parts with text.
+/// Message content: text, null, or a list of content parts.
 struct ContentSeed<'a>(&'a mut PromptHasher);
 
 impl<'de> DeserializeSeed<'de> for ContentSeed<'_> {
--- a/crates/kind/src/clock.rs
+++ b/crates/kind/src/clock.rs
@@ -1,33 +1,35 @@
-//! Time as a value. Decisions are handed the time; only the edge reads a clock.
+//! Time values. Decision code takes the current time as an argument, and only the I/O layer reads a
+//! clock.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 
-/// A point in time, in milliseconds. Monotonic inside a process; wall-clock time (since 1970)
-/// where a doc comment says so.
+/// A point in time in milliseconds: monotonic time within one process, or wall-clock time since
+/// the Unix epoch where a doc comment says so.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ClockTime(pub u64);
 
-/// A length of time, in milliseconds.
+/// A duration in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct TimeSpan(pub u64);
 
 impl TimeSpan {
-    /// A span of whole seconds.
+    /// Creates a span from whole seconds.
     pub const fn secs(seconds: u64) -> Self {
         TimeSpan(seconds * 1000)
     }
 
-    /// What is left after this span of a value that halves in each `half_life`, in 0 to 1.
-    pub fn part_left(self, half_life: TimeSpan) -> f64 {
+    /// Returns the exponential decay factor, from 0 to 1, after this span for a value with the given
+    /// `half_life`.
+    pub fn decay_factor(self, half_life: TimeSpan) -> f64 {
         0.5_f64.powf(self.0 as f64 / half_life.0 as f64)
     }
 
-    /// The span as the standard library's duration.
+    /// Converts the span to a standard library duration.
     pub const fn duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
@@ -52,7 +54,7 @@
 impl Sub<ClockTime> for ClockTime {
     type Output = TimeSpan;
 
-    /// The span since `earlier`; zero if `earlier` is later.
+    /// Returns the span since `earlier`, or zero if `earlier` is later.
     fn sub(self, earlier: ClockTime) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(earlier.0))
     }
--- a/crates/kind/src/code.rs
+++ b/crates/kind/src/code.rs
@@ -1,19 +1,21 @@
-//! Numbered result codes: what callers and operators are told, and what they may do next.
+//! Numbered result codes, which tell callers and operators the outcome of an operation and whether
+//! the request may have run.
 
-/// What a code says of the request's execution.
+/// What a result code guarantees about the execution of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunFact {
-    /// No endpoint ran it, nor will.
+pub enum ExecutionStatus {
+    /// No endpoint ran the request or will run it.
     NotRun,
-    /// It ran, or may have run.
+    /// The request ran or may have run.
     MayHaveRun,
-    /// The code is not about a request.
+    /// The code does not concern a client request.
     Unrelated,
 }
 
 macro_rules! result_codes {
-    ($($(#[$meta:meta])* $name:ident = $number:literal, $status:literal, $fact:ident, $text:literal;)*) => {
-        /// A numbered result. The number never changes its meaning; docs/RESULT-CODES.md lists all.
+    ($($(#[$meta:meta])* $name:ident = $number:literal, $status:literal, $execution:ident, $text:literal;)*) => {
+        /// A numbered result. The meaning of a number never changes; docs/RESULT-CODES.md lists all
+        /// codes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         #[repr(u16)]
         pub enum ResultCode {
@@ -21,25 +23,25 @@
         }
 
         impl ResultCode {
-            /// Every code, by number.
+            /// All result codes in declaration order.
             pub const ALL: &[ResultCode] = &[$(ResultCode::$name),*];
 
-            /// The HTTP status it is told with.
+            /// Returns the HTTP status that is sent with the code.
             pub fn status(self) -> u16 {
                 match self { $(ResultCode::$name => $status,)* }
             }
 
-            /// What it says of execution.
-            pub fn run_fact(self) -> RunFact {
-                match self { $(ResultCode::$name => RunFact::$fact,)* }
+            /// Returns what the code guarantees about execution of the request.
+            pub fn execution_status(self) -> ExecutionStatus {
+                match self { $(ResultCode::$name => ExecutionStatus::$execution,)* }
             }
 
-            /// One line for people.
+            /// Returns a one-line description.
             pub fn text(self) -> &'static str {
                 match self { $(ResultCode::$name => $text,)* }
             }
 
-            /// The name, as logs write it.
+            /// Returns the name that is written to logs.
             pub fn name(self) -> &'static str {
                 match self { $(ResultCode::$name => stringify!($name),)* }
             }
@@ -111,31 +113,32 @@
 }
 
 impl ResultCode {
-    /// The code's number.
+    /// Returns the numeric code.
     pub fn number(self) -> u16 {
         self as u16
     }
 
-    /// Whether "not run" is said, and hence must be true.
-    pub fn says_not_run(self) -> bool {
-        self.run_fact() == RunFact::NotRun
+    /// Returns whether the code guarantees that the request did not and will not run. Code that
+    /// returns such a result must be certain of it.
+    pub fn guarantees_not_run(self) -> bool {
+        self.execution_status() == ExecutionStatus::NotRun
     }
 
-    /// The code of a number, if there is one.
+    /// Returns the code with the given number, if there is one.
     pub fn from_number(number: u16) -> Option<ResultCode> {
         Self::ALL.iter().copied().find(|code| code.number() == number)
     }
 }
 
-/// All codes as a Markdown table: docs/RESULT-CODES.md is made from it.
+/// Formats all codes as a Markdown table, from which docs/RESULT-CODES.md is generated.
 pub fn code_table() -> String {
     let mut table =
         String::from("| code | name | status | not run | meaning |\n|---|---|---|---|---|\n");
     for code in ResultCode::ALL {
-        let not_run = match code.run_fact() {
-            RunFact::NotRun => "yes",
-            RunFact::MayHaveRun => "no",
-            RunFact::Unrelated => "-",
+        let not_run = match code.execution_status() {
+            ExecutionStatus::NotRun => "yes",
+            ExecutionStatus::MayHaveRun => "no",
+            ExecutionStatus::Unrelated => "-",
         };
         table.push_str(&format!(
             "| {} | {} | {} | {not_run} | {} |\n",
--- a/crates/kind/src/endpoint.rs
+++ b/crates/kind/src/endpoint.rs
@@ -1,25 +1,25 @@
-//! What is known of an endpoint, as lists and notices tell it.
+//! Endpoint records as the platform's endpoint list and its notices report them.
 
 use crate::{ClockTime, DomainName, InstanceId, ServiceName, VersionName};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Where an endpoint stands in its life, as the platform's list tells it.
+/// The lifecycle stage of an endpoint as the platform's list reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointStage {
-    /// Asked for; not answering yet.
+    /// Requested from the platform, but not serving yet.
     #[default]
     Starting,
-    /// Answers requests.
+    /// Serving requests.
     Live,
-    /// Told to leave: it finishes what it has and takes nothing new.
+    /// Draining: it finishes the requests in progress and accepts no new ones.
     Leaving,
-    /// Ended.
+    /// Terminated.
     Gone,
 }
 
-/// Requests a second, kept in thousandths so that two processes compare it exactly.
+/// A rate in requests per second, stored in thousandths so that it compares equal in every process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -27,15 +27,15 @@
 pub struct RequestRate(u32);
 
 impl RequestRate {
-    /// Thousandths of a request a second.
+    /// Stored units in one request per second.
     const SCALE: f64 = 1000.0;
 
-    /// The rate of `per_s` requests a second; a figure out of range becomes the nearest one.
+    /// Creates a rate of `per_s` requests per second. Values out of range are clamped.
     pub fn per_second(per_s: f64) -> Self {
         RequestRate((per_s * Self::SCALE).round() as u32)
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_s(self) -> f64 {
         f64::from(self.0) / Self::SCALE
     }
@@ -47,53 +47,53 @@
     }
 }
 
-/// How an instance is bought.
+/// The purchase type of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceMarket {
-    /// Cheap; may be reclaimed on seconds of notice.
+    /// Low-priced capacity that the cloud may reclaim with a few seconds of notice.
     #[default]
     Reclaimable,
-    /// Dear; stays until it is ended.
+    /// Higher-priced capacity that runs until it is terminated.
     OnDemand,
 }
 
-/// What an endpoint does.
+/// The kind of service an endpoint provides.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointRole {
-    /// A model engine with streams, prefix cache and load reports.
+    /// A model inference engine with streaming, a prefix cache and load reports.
     #[default]
     Engine,
     /// A plain HTTP service.
     Plain,
 }
 
-/// One endpoint as the platform's list shows it.
+/// One entry of the platform's endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     /// The instance it runs on.
     pub instance: InstanceId,
-    /// The service it answers for.
+    /// The service it belongs to.
     pub service: ServiceName,
-    /// `ip:port`.
+    /// Network address as `ip:port`.
     pub address: CompactString,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Machine class, as the cloud names it.
+    /// The cloud provider's machine type.
     pub class: CompactString,
-    /// How it was bought.
+    /// The purchase type of its instance.
     pub market: InstanceMarket,
     /// Engine or plain service.
     pub role: EndpointRole,
     /// The model version it has loaded; empty for plain services.
     pub version: VersionName,
-    /// Its stage.
+    /// Its lifecycle stage.
     pub stage: EndpointStage,
-    /// Wall-clock time at which a leaving instance ends.
+    /// Wall-clock time at which a leaving instance is terminated.
     pub ends_at: Option<ClockTime>,
-    /// The client token it was started with.
+    /// The client token of the order that started it.
     pub token: CompactString,
-    /// Wall-clock time of its start.
+    /// Wall-clock time at which it started.
     pub started_at: ClockTime,
 }
--- a/crates/kind/src/ident.rs
+++ b/crates/kind/src/ident.rs
@@ -1,10 +1,10 @@
-//! Names that cross process borders.
+//! Identifier types that are sent between processes.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-macro_rules! text_name {
+macro_rules! string_id {
     ($(#[$meta:meta])* $name:ident) => {
         $(#[$meta])*
         #[derive(
@@ -14,14 +14,14 @@
         pub struct $name(pub CompactString);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
 
-            /// A 64-bit hash of the name, the same in every process.
+            /// Returns a 64-bit hash of the name that is the same in every process.
             pub fn stable_hash(&self) -> u64 {
-                crate::hash::stable_hash(crate::hash::HASH_START, self.0.as_bytes())
+                crate::hash::stable_hash(crate::hash::HASH_SEED, self.0.as_bytes())
             }
         }
 
@@ -39,59 +39,59 @@
     };
 }
 
-text_name!(
-    /// A client account: who is billed and limited.
+string_id!(
+    /// The name of a client account, the unit of billing and rate limits.
     AccountName
 );
-text_name!(
-    /// A failure domain: what may be reclaimed or lost as one.
+string_id!(
+    /// The name of a failure domain, whose instances may be reclaimed or lost together.
     DomainName
 );
-text_name!(
-    /// An instance of ours or of the endpoints'.
+string_id!(
+    /// The ID of an instance, either one of the platform's own processes or an endpoint.
     InstanceId
 );
-text_name!(
-    /// One request, for its whole life; the caller's idempotency key where it gave one.
+string_id!(
+    /// The ID of a request over all its attempts: the caller's idempotency key if it sent one.
     RequestId
 );
-text_name!(
-    /// A service that callers name.
+string_id!(
+    /// The name of a service that callers address.
     ServiceName
 );
-text_name!(
-    /// A model version.
+string_id!(
+    /// The name of a model version.
     VersionName
 );
 
-/// The longest request id that is taken from a caller, in bytes.
-pub const REQUEST_ID_LIMIT: usize = 128;
+/// Maximum length in bytes of a request ID that a caller supplies.
+pub const MAX_REQUEST_ID_BYTES: usize = 128;
 
 impl RequestId {
-    /// Reads a caller's id: 1 to [`REQUEST_ID_LIMIT`] ASCII letters, digits, `-`, `_`, `.`, `:`.
+    /// Parses a request ID from a caller: 1 to [`MAX_REQUEST_ID_BYTES`] ASCII letters, digits, `-`, `_`, `.`, `:`.
     pub fn parse(text: &str) -> Option<RequestId> {
-        let fits = !text.is_empty() && text.len() <= REQUEST_ID_LIMIT;
+        let fits = !text.is_empty() && text.len() <= MAX_REQUEST_ID_BYTES;
         let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
         (fits && text.bytes().all(plain)).then(|| RequestId::from(text))
     }
 }
 
-/// The wall-clock milliseconds that a version 7 UUID carries (RFC 9562, section 5.7), or nothing
-/// if `text` is no such UUID.
+/// Returns the timestamp of a version 7 UUID (RFC 9562, section 5.7) in wall-clock milliseconds, or
+/// `None` if `text` is not a version 7 UUID.
 pub fn uuid_v7_millis(text: &str) -> Option<u64> {
-    const DASHES: [usize; 4] = [8, 13, 18, 23];
+    const DASH_POSITIONS: [usize; 4] = [8, 13, 18, 23];
     const UUID_LENGTH: usize = 36;
-    const VERSION_AT: usize = 14;
-    const VARIANT_AT: usize = 19;
+    const VERSION_POSITION: usize = 14;
+    const VARIANT_POSITION: usize = 19;
     let bytes = text.as_bytes();
-    if bytes.len() != UUID_LENGTH || bytes[VERSION_AT] != b'7' {
+    if bytes.len() != UUID_LENGTH || bytes[VERSION_POSITION] != b'7' {
         return None;
     }
-    if !b"89abAB".contains(&bytes[VARIANT_AT]) {
+    if !b"89abAB".contains(&bytes[VARIANT_POSITION]) {
         return None;
     }
     let well_formed = bytes.iter().enumerate().all(|(at, byte)| {
-        if DASHES.contains(&at) { *byte == b'-' } else { byte.is_ascii_hexdigit() }
+        if DASH_POSITIONS.contains(&at) { *byte == b'-' } else { byte.is_ascii_hexdigit() }
     });
     if !well_formed {
         return None;
@@ -100,8 +100,8 @@
     u64::from_str_radix(&digits, 16).ok()
 }
 
-/// Writes a version 7 UUID from wall-clock milliseconds and random bits.
-pub fn write_uuid_v7(millis: u64, random: u128) -> String {
+/// Formats a version 7 UUID from wall-clock milliseconds and random bits.
+pub fn format_uuid_v7(millis: u64, random: u128) -> String {
     const VERSION: u128 = 7 << 76;
     const VARIANT: u128 = 2 << 62;
     const RANDOM_MASK: u128 = (0xfff << 64) | ((1 << 62) - 1);
--- a/crates/kind/src/lib.rs
+++ b/crates/kind/src/lib.rs
@@ -1,7 +1,8 @@
-//! The words every other crate speaks: identities, times, result codes and peer messages.
+//! Basic types shared by all other crates: identifiers, time values, result codes, endpoint
+//! records, hashes and chat request fields.
 //!
-//! Nothing here does I/O or decides anything. The crate exists so that the decision crates can
-//! share types without depending on one another.
+//! This crate does no I/O and makes no decisions. It lets the decision crates share types without
+//! depending on one another.
 
 pub mod arena;
 pub mod chat;
--- a/crates/list/src/keeper.rs
+++ b/crates/list/src/keeper.rs
@@ -1,6 +1,6 @@
 //! The endpoint list of an entry process, as a pure state machine.
 
-use oleander_kind::hash::{HASH_START, mix_bits, stable_hash};
+use oleander_kind::hash::{HASH_SEED, mix_bits, stable_hash};
 use oleander_kind::{ClockTime, EndpointRecord, EndpointStage, InstanceId, TimeSpan};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -56,7 +56,7 @@
 }
 
 fn record_hash(record: &EndpointRecord) -> u64 {
-    let mut state = stable_hash(HASH_START, record.instance.as_str().as_bytes());
+    let mut state = stable_hash(HASH_SEED, record.instance.as_str().as_bytes());
     state = stable_hash(state, record.address.as_bytes());
     state = stable_hash(state, record.version.as_str().as_bytes());
     state = stable_hash(state, &[record.stage as u8]);
--- a/crates/list/src/roster.rs
+++ b/crates/list/src/roster.rs
@@ -15,7 +15,7 @@
 use crate::changes::ChangeLog;
 use crate::freshness::{FreshnessNote, FreshnessStamp};
 use compact_str::CompactString;
-use oleander_kind::hash::{HASH_START, mix_bits, stable_hash};
+use oleander_kind::hash::{HASH_SEED, mix_bits, stable_hash};
 use oleander_kind::{ClockTime, TimeSpan};
 use oleander_plat::{FeedEvent, FeedObject};
 use serde::{Deserialize, Serialize};
@@ -185,7 +185,7 @@
 }
 
 pub(crate) fn object_hash(object: &FeedObject) -> u64 {
-    mix_bits(stable_hash(HASH_START, object.name.as_bytes()) ^ mix_bits(object.revision))
+    mix_bits(stable_hash(HASH_SEED, object.name.as_bytes()) ^ mix_bits(object.revision))
 }
 
 impl RosterReplica {
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use compact_str::CompactString;
 use oleander_kind::chat::PromptHasher;
-use oleander_kind::ident::write_uuid_v7;
+use oleander_kind::ident::format_uuid_v7;
 use oleander_standin::answer::{answer_seed, answer_text};
 use oleander_standin::plain::plain_answer;
 use rand::rngs::StdRng;
@@ -109,7 +109,7 @@
 
 /// Plans one call of `kind`.
 pub fn plan_call(settings: &LoadSettings, kind: CallKind, random: &mut StdRng) -> CallPlan {
-    let id = write_uuid_v7(oleander_standin::wall_millis(), random.r#gen());
+    let id = format_uuid_v7(oleander_standin::wall_millis(), random.r#gen());
     match kind {
         CallKind::Rewrite => plan_rewrite(settings, id, random),
         CallKind::Label => plan_plain(settings, (kind, "/labels"), id, random),
--- a/crates/mesh/src/view.rs
+++ b/crates/mesh/src/view.rs
@@ -1,7 +1,7 @@
 //! The members as known to one process, and the choice of the collector among them.
 
 use crate::message::MemberInfo;
-use oleander_kind::hash::{HASH_START, mix_bits, rendezvous_weight, stable_hash};
+use oleander_kind::hash::{HASH_SEED, mix_bits, rendezvous_weight, stable_hash};
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use std::collections::{BTreeMap, HashMap};
 
@@ -305,5 +305,5 @@
 }
 
 fn rank(member: &MemberInfo) -> u64 {
-    rendezvous_weight(stable_hash(HASH_START, COLLECTOR_KEY), member.id.stable_hash())
+    rendezvous_weight(stable_hash(HASH_SEED, COLLECTOR_KEY), member.id.stable_hash())
 }
--- a/crates/pace/src/lib.rs
+++ b/crates/pace/src/lib.rs
@@ -116,7 +116,7 @@
     }
 
     fn fade(&mut self, now: ClockTime) {
-        let factor = (now - self.faded_at).part_left(HALF_LIFE);
+        let factor = (now - self.faded_at).decay_factor(HALF_LIFE);
         self.weights.iter_mut().for_each(|weight| *weight *= factor);
         self.faded_at = now;
     }
--- a/crates/place/src/health.rs
+++ b/crates/place/src/health.rs
@@ -58,7 +58,7 @@
     }
 
     fn decay(&mut self, now: ClockTime) {
-        let factor = (now - self.counted_at).part_left(HALF_LIFE);
+        let factor = (now - self.counted_at).decay_factor(HALF_LIFE);
         self.good *= factor;
         self.bad *= factor;
         self.counted_at = now;
@@ -66,7 +66,7 @@
 
     /// The share of its answers that failed, in 0 to 1; one good answer is assumed in addition.
     pub fn failure_share(&self, now: ClockTime) -> f64 {
-        let factor = (now - self.counted_at).part_left(HALF_LIFE);
+        let factor = (now - self.counted_at).decay_factor(HALF_LIFE);
         let (good, bad) = (self.good * factor, self.bad * factor);
         bad / (good + bad + 1.0)
     }
--- a/crates/place/src/pause.rs
+++ b/crates/place/src/pause.rs
@@ -28,7 +28,7 @@
 impl PauseRecord {
     /// Counts a stream that ended, and whether it paused for too long.
     pub fn note(&mut self, is_late: bool, now: ClockTime) {
-        let kept = (now - self.at).part_left(HALF_LIFE);
+        let kept = (now - self.at).decay_factor(HALF_LIFE);
         self.ended = self.ended * kept + 1.0;
         self.late = self.late * kept + f64::from(u8::from(is_late));
         self.at = now;
--- a/crates/release/src/comparison.rs
+++ b/crates/release/src/comparison.rs
@@ -65,7 +65,7 @@
 
 impl DecayedSum {
     fn decayed(&self, half_life: TimeSpan, now: ClockTime) -> DecayedSum {
-        let kept = (now - self.at).part_left(half_life);
+        let kept = (now - self.at).decay_factor(half_life);
         let (came, failed) = (self.came * kept, self.failed * kept);
         DecayedSum { came, failed, slowness: self.slowness * kept, at: now }
     }
@@ -112,7 +112,7 @@
 
 impl EndpointScore {
     fn decayed(&self, now: ClockTime) -> EndpointScore {
-        let kept = (now - self.at).part_left(SCORE_HALF_LIFE);
+        let kept = (now - self.at).decay_factor(SCORE_HALF_LIFE);
         EndpointScore { fails: self.fails * kept, slow: self.slow * kept, at: now }
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -303,7 +303,7 @@
         let stream = EngineStream {
             seed: answer_seed(ask.head.prompt_hash, self.version.as_str()),
             prompt_tokens: ask.head.prompt_tokens(),
-            wanted: u64::from(ask.head.wanted_tokens()),
+            wanted: u64::from(ask.head.output_token_limit()),
             blocks: ask.head.blocks,
             start: ask.continue_from,
             made: ask.continue_from,
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -2,7 +2,7 @@
 
 use actix_web::web::{Bytes, Data, Json};
 use actix_web::{App, HttpRequest, HttpResponse, web};
-use oleander_kind::hash::{HASH_START, stable_hash};
+use oleander_kind::hash::{HASH_SEED, stable_hash};
 use oleander_serve::{HttpSite, local_data, serve_app};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -88,7 +88,7 @@
 
 /// The answer to a call: a function of path and body, so that a crossed answer shows.
 pub fn plain_answer(path: &str, body: &[u8]) -> String {
-    let hash = stable_hash(stable_hash(HASH_START, path.as_bytes()), body);
+    let hash = stable_hash(stable_hash(HASH_SEED, path.as_bytes()), body);
     format!("{{\"answer\":\"{hash:016x}\"}}")
 }
 
--- a/crates/suspect/src/tracker.rs
+++ b/crates/suspect/src/tracker.rs
@@ -6,7 +6,7 @@
     CRASH_RETENTION, EXONERATION_WINDOW, EndpointCrash, EndpointIncarnation, SuspectRecord,
     SuspectUpdate,
 };
-use oleander_kind::hash::{HASH_START, stable_hash};
+use oleander_kind::hash::{HASH_SEED, stable_hash};
 use oleander_kind::{ClockTime, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -174,7 +174,7 @@
         let mark = |state, fingerprint: &RequestFingerprint| {
             hash_record(state, *fingerprint, &self.records[fingerprint])
         };
-        self.shared_hash = self.shared.iter().fold(HASH_START, mark);
+        self.shared_hash = self.shared.iter().fold(HASH_SEED, mark);
     }
 
     /// Returns how much longer a request is quarantined, `None` if it is not.
--- a/tests/all/arbitrary.rs
+++ b/tests/all/arbitrary.rs
@@ -1,16 +1,16 @@
-//! Arbitrary input: readers of what comes from outside never fail otherwise than by an error, and do
-//! not depend on how bytes are cut into pieces.
+//! Property tests with arbitrary input. Parsers of external data must return an error rather than
+//! panic, and their results must not depend on how the bytes are split into chunks.
 
 use arbtest::arbtest;
 use oleandertack::bundle::SignedBundle;
 use oleandertack::edge::sse::{AnswerEvent, EventReader};
 use oleandertack::flow::{AnswerSplice, PieceVerdict};
 use oleandertack::kind::chat::{PromptHasher, read_chat_head};
-use oleandertack::kind::ident::{uuid_v7_millis, write_uuid_v7};
+use oleandertack::kind::ident::{format_uuid_v7, uuid_v7_millis};
 use oleandertack::wire::{PeerBody, decode_frame, encode_frame};
 
 #[test]
-fn broken_frames_are_errors() {
+fn corrupt_frames_do_not_panic_the_decoder() {
     arbtest(|u| {
         let mut bytes =
             encode_frame(u.arbitrary()?, PeerBody::AskBundle { generation: 7 }).to_vec();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_frame_reads_back_as_it_was_written() {
+fn a_frame_decodes_to_what_was_encoded() {
     arbtest(|u| {
         let (number, generation) = (u.arbitrary()?, u.arbitrary()?);
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn nonsense_is_no_bundle_and_no_request() {
+fn arbitrary_bytes_do_not_panic_the_bundle_and_chat_parsers() {
     arbtest(|u| {
         let bytes = u.bytes(u.len().min(400))?;
 
@@ -48,7 +48,7 @@
     });
 }
 
-fn events(bytes: &[u8], cuts: &[usize]) -> Vec<AnswerEvent> {
+fn parse_events(bytes: &[u8], cuts: &[usize]) -> Vec<AnswerEvent> {
     let mut reader = EventReader::default();
     let mut events = Vec::new();
     let mut from = 0;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn events_do_not_depend_on_how_a_stream_is_cut() {
+fn parsed_events_do_not_depend_on_chunk_boundaries() {
     arbtest(|u| {
         let mut stream = String::new();
         for at in 1..=u.int_in_range(1..=6)? {
@@ -78,13 +78,13 @@
         }
         cuts.sort_unstable();
 
-        assert_eq!(events(bytes, &cuts), events(bytes, &[]));
+        assert_eq!(parse_events(bytes, &cuts), parse_events(bytes, &[]));
         Ok(())
     });
 }
 
 #[test]
-fn a_prompt_is_the_same_however_its_text_is_written_and_cut() {
+fn the_prompt_hash_does_not_depend_on_how_content_is_split() {
     arbtest(|u| {
         let text: String = u.arbitrary()?;
         let at = text.char_indices().nth(u.int_in_range(0..=20)?).map_or(text.len(), |(at, _)| at);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn shown_tokens_are_a_prefix_whatever_comes_in_whatever_order() {
+fn shown_tokens_are_a_prefix_for_any_order_of_pieces() {
     arbtest(|u| {
         let mut splice = AnswerSplice::default();
         let mut shown: Vec<u64> = Vec::new();
@@ -134,11 +134,11 @@
 }
 
 #[test]
-fn a_dated_key_gives_its_time_back() {
+fn a_version_7_uuid_parses_to_its_timestamp() {
     arbtest(|u| {
         let millis = u.int_in_range(0..=(1u64 << 48) - 1)?;
 
-        assert_eq!(uuid_v7_millis(&write_uuid_v7(millis, u.arbitrary()?)), Some(millis));
+        assert_eq!(uuid_v7_millis(&format_uuid_v7(millis, u.arbitrary()?)), Some(millis));
         Ok(())
     });
 }
--- a/tests/all/call.rs
+++ b/tests/all/call.rs
@@ -134,7 +134,7 @@
             record.note(end);
             may_have_run += u32::from(end.may_have_run());
             if let NextStep::GiveUp(code) = record.next_step(end, false) {
-                assert!(!code.says_not_run() || may_have_run == 0, "{code} after {end:?}");
+                assert!(!code.guarantees_not_run() || may_have_run == 0, "{code} after {end:?}");
             }
         }
         assert!(record.sent() <= 3);
--- a/tests/all/docs.rs
+++ b/tests/all/docs.rs
@@ -1,4 +1,4 @@
-//! Pages that must agree with the code.
+//! Checks that the generated tables in the documentation match the code.
 
 use oleandertack::gauge::page::{CapacityData, capacity_tables};
 use oleandertack::kind::ResultCode;
@@ -6,21 +6,24 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-fn page(name: &str) -> String {
+fn read_page(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("docs").join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|fault| panic!("{}: {fault}", path.display()))
 }
 
 #[test]
-fn the_page_of_result_codes_is_the_codes_table() {
-    assert!(page("RESULT-CODES.md").contains(&code_table()), "make it with `oleander-ctl codes`");
+fn the_result_code_page_matches_the_code_table() {
+    assert!(
+        read_page("RESULT-CODES.md").contains(&code_table()),
+        "regenerate it with `oleander-ctl codes`"
+    );
 }
 
 #[test]
-fn the_page_of_events_is_the_events_table() {
+fn the_event_page_matches_the_event_table() {
     let table = oleandertack::front::events::event_table();
 
-    assert!(page("EVENTS.md").contains(&table), "make it with `oleander-ctl events`");
+    assert!(read_page("EVENTS.md").contains(&table), "regenerate it with `oleander-ctl events`");
 }
 
 #[test]
@@ -31,11 +34,14 @@
 }
 
 #[test]
-fn the_capacity_page_shows_what_the_committed_data_give() {
+fn the_capacity_page_matches_the_committed_data() {
     let data: CapacityData =
-        serde_json::from_str(&page("capacity.json")).expect("the committed data");
+        serde_json::from_str(&read_page("capacity.json")).expect("the committed data");
 
     let tables = capacity_tables(&data);
 
-    assert!(page("CAPACITY.md").contains(&tables), "make them with `oleander-bench page`");
+    assert!(
+        read_page("CAPACITY.md").contains(&tables),
+        "regenerate them with `oleander-bench page`"
+    );
 }
--- a/tests/all/flow.rs
+++ b/tests/all/flow.rs
@@ -33,7 +33,7 @@
     let refused = flow.admit(LATE).expect_err("past its deadline");
 
     assert_eq!(refused, ResultCode::DeadlineNotRun);
-    assert!(refused.says_not_run());
+    assert!(refused.guarantees_not_run());
 }
 
 #[test]
@@ -193,11 +193,11 @@
 fn judge(ending: EndState, ran: bool, endings: &mut u32) {
     *endings += 1;
     if let EndState::Refused(code) = ending {
-        assert!(code.says_not_run());
+        assert!(code.guarantees_not_run());
         assert!(!ran, "{code} was said of a request that may have run");
     }
     if let EndState::Doubtful(code) = ending {
-        assert!(!code.says_not_run(), "{code} is no doubt");
+        assert!(!code.guarantees_not_run(), "{code} is no doubt");
     }
 }
 
