--- a/crates/edge/src/again.rs
+++ b/crates/edge/src/again.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use oleander_claim::{ClaimKey, body_digest, claim_key};
 use oleander_kind::{InstanceId, RequestId, ResultCode, TimeSpan, read_chat_head};
-use oleander_wire::{FoundRequest, KeptAnswer, PeerBody, ShadowRecord};
+use oleander_wire::{KeptAnswer, PeerBody, RequestLookup, ShadowRecord};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -43,13 +43,13 @@
         return answer_here(live, after).await;
     }
     match found {
-        FoundRequest::Kept(answer) => kept_response(&answer, after),
-        FoundRequest::Running(record) => {
+        RequestLookup::Kept(answer) => kept_response(&answer, after),
+        RequestLookup::Running(record) => {
             let live = adopt(&node, key, *record);
             answer_here(live, after).await
         }
-        FoundRequest::Busy => RefusalNote::new(ResultCode::StillRunning).id(&id).response(),
-        FoundRequest::Nothing => RefusalNote::new(ResultCode::UnknownRequest).id(&id).response(),
+        RequestLookup::Busy => RefusalNote::new(ResultCode::StillRunning).id(&id).response(),
+        RequestLookup::Nothing => RefusalNote::new(ResultCode::UnknownRequest).id(&id).response(),
     }
 }
 
@@ -63,20 +63,20 @@
 }
 
 /// What this process, `first`, or the members that the key points at know of a request.
-pub async fn find(node: &EntryNode, key: ClaimKey, first: Option<&InstanceId>) -> FoundRequest {
+pub async fn find(node: &EntryNode, key: ClaimKey, first: Option<&InstanceId>) -> RequestLookup {
     let here = find_here(node, key);
-    if here != FoundRequest::Nothing {
+    if here != RequestLookup::Nothing {
         return here;
     }
     let mut addresses = Vec::new();
     addresses.extend(first.and_then(|id| node.peer_address(id)));
     addresses.extend(holders(node, key).into_iter().map(|member| member.address));
-    let mut best = FoundRequest::Nothing;
+    let mut best = RequestLookup::Nothing;
     for address in addresses {
         let answer = node.call_peer(&address, PeerBody::FindRequest { key }, FIND_LIMIT).await;
         match answer {
-            Ok(PeerBody::Found { found: FoundRequest::Nothing }) | Err(_) => {}
-            Ok(PeerBody::Found { found: FoundRequest::Busy }) => best = FoundRequest::Busy,
+            Ok(PeerBody::Found { found: RequestLookup::Nothing }) | Err(_) => {}
+            Ok(PeerBody::Found { found: RequestLookup::Busy }) => best = RequestLookup::Busy,
             Ok(PeerBody::Found { found }) => return found,
             Ok(_) => {}
         }
@@ -85,24 +85,24 @@
 }
 
 /// What this process knows of a request.
-pub fn find_here(node: &EntryNode, key: ClaimKey) -> FoundRequest {
+pub fn find_here(node: &EntryNode, key: ClaimKey) -> RequestLookup {
     let book = node.book.borrow();
     if let Some(answer) = book.kept(key) {
-        return FoundRequest::Kept(answer.clone());
+        return RequestLookup::Kept(answer.clone());
     }
     if let Some(live) = book.live(key) {
         return match live.record.borrow().as_ref() {
             Some(record) if live.stage() != LiveStage::Trying => {
                 let mut record = record.clone();
                 record.shown = live.shown_bytes();
-                FoundRequest::Running(Box::new(record))
+                RequestLookup::Running(Box::new(record))
             }
-            _ => FoundRequest::Busy,
+            _ => RequestLookup::Busy,
         };
     }
     match book.held(key) {
-        Some(record) => FoundRequest::Running(Box::new(record.clone())),
-        None => FoundRequest::Nothing,
+        Some(record) => RequestLookup::Running(Box::new(record.clone())),
+        None => RequestLookup::Nothing,
     }
 }
 
--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -8,7 +8,7 @@
 use oleander_conf::EntrySettings;
 use oleander_kind::TimeSpan;
 use oleander_serve::{HttpSite, local_data, serve_app};
-use oleander_wire::{PeerHandler, PeerListener, bind_peers, listen_peers};
+use oleander_wire::{PeerHandler, PeerListener, bind_peer_listener, serve_peers};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::task::JoinHandle;
@@ -52,7 +52,7 @@
     hook: Option<StepHook>,
 ) -> std::io::Result<EntryProcess> {
     // Bound first: peers are told the address that was really taken.
-    let peer_listener = bind_peers(settings.peer).await?;
+    let peer_listener = bind_peer_listener(settings.peer).await?;
     settings.peer = peer_listener.local_addr()?;
     let node = EntryNode::new(settings, log, hook);
     let data = local_data(node.clone());
@@ -62,7 +62,7 @@
     )
     .await?;
     let handler: Rc<dyn PeerHandler> = Rc::new(peers::NodePeers(node.clone()));
-    let peers = listen_peers(peer_listener, handler, node.traffic.clone())?;
+    let peers = serve_peers(peer_listener, handler, node.traffic.clone())?;
     let app = App::new()
         .app_data(data)
         .route(chat::CHAT_PATH, web::post().to(chat::chat))
--- a/crates/edge/src/node.rs
+++ b/crates/edge/src/node.rs
@@ -17,7 +17,7 @@
 use oleander_member::{MemberRecord, MemberSettings, MemberStage, MemberTable};
 use oleander_plat::HttpStore;
 use oleander_route::{HealthSettings, RouteController, RoutePolicy, RouteSettings};
-use oleander_wire::{CallPeer, PeerBody, PeerHub, TrafficCount};
+use oleander_wire::{CallPeer, PeerBody, PeerHub, TrafficCounters};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -67,7 +67,7 @@
     /// Links to peers.
     pub hub: Addr<PeerHub>,
     /// Bytes to and from peers.
-    pub traffic: Rc<TrafficCount>,
+    pub traffic: Rc<TrafficCounters>,
     /// Claims.
     pub claims: Addr<ClaimDesk>,
     /// The object API.
@@ -92,7 +92,7 @@
         let clock = NodeClock::default();
         let times = settings.times.clone();
         let store = HttpStore::new(&settings.platform, TimeSpan(times.platform_ms));
-        let traffic = Rc::new(TrafficCount::default());
+        let traffic = Rc::new(TrafficCounters::default());
         let hub = actix::Actor::start(PeerHub::new(traffic.clone()));
         let me = MemberRecord {
             id: settings.instance.clone(),
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -24,7 +24,7 @@
 use oleander_member::owner_of;
 use oleander_plat::never_sent;
 use oleander_route::{RouteAsk, note_ended, note_failure, note_success};
-use oleander_wire::{FoundRequest, KeptAnswer, PeerBody};
+use oleander_wire::{KeptAnswer, PeerBody, RequestLookup};
 use std::rc::Rc;
 
 /// The most attempts of one call.
@@ -315,15 +315,15 @@
         return kept_response(&answer, 0);
     }
     match find_elsewhere(node, ask.key, &record.owner).await {
-        FoundRequest::Kept(answer) => kept_response(&answer, 0),
-        FoundRequest::Busy | FoundRequest::Running(_) => {
+        RequestLookup::Kept(answer) => kept_response(&answer, 0),
+        RequestLookup::Busy | RequestLookup::Running(_) => {
             RefusalNote::new(ResultCode::StillRunning).id(&ask.id).response()
         }
-        FoundRequest::Nothing => RefusalNote::new(ResultCode::Uncertain).id(&ask.id).response(),
+        RequestLookup::Nothing => RefusalNote::new(ResultCode::Uncertain).id(&ask.id).response(),
     }
 }
 
-async fn find_elsewhere(node: &EntryNode, key: ClaimKey, owner: &InstanceId) -> FoundRequest {
+async fn find_elsewhere(node: &EntryNode, key: ClaimKey, owner: &InstanceId) -> RequestLookup {
     // The call that asks is itself in the book; it is taken out while others are asked.
     let own = node.book.borrow().live(key);
     node.book.borrow_mut().end(key);
--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -14,7 +14,7 @@
 use oleander_limit::ANSWER_TIMEOUT;
 use oleander_list::RosterUpdate;
 use oleander_mesh::{MemberInfo, MemberList, MeshBody, MeshCollector, NodeReport};
-use oleander_wire::{CallPeer, ForgetPeer, PeerHub};
+use oleander_wire::{CallPeer, ClosePeer, PeerHub};
 use std::rc::Rc;
 
 /// Between two reports: allotments outlast two of them.
@@ -178,7 +178,7 @@
         Ok(Ok(answer)) => Some(answer),
         Ok(Err(fault)) => {
             event!(node, MemberFault; "fault" => fault.to_string());
-            hub.do_send(ForgetPeer(address));
+            hub.do_send(ClosePeer(address));
             None
         }
         Err(fault) => {
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -27,7 +27,7 @@
 };
 use oleander_plat::FeedStore;
 use oleander_suspect::{CrashMonitor, SuspectTracker};
-use oleander_wire::{PeerHub, TrafficCount};
+use oleander_wire::{PeerHub, TrafficCounters};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
     /// When the ledger may be asked again after it did not answer.
     pub ask_after: Cell<ClockTime>,
     /// What the links to the other processes carried.
-    pub traffic: Rc<TrafficCount>,
+    pub traffic: Rc<TrafficCounters>,
     /// The links to the other processes.
     pub peers: OnceCell<Addr<PeerHub<MeshBody>>>,
     /// What the log was told of them.
--- a/crates/front/src/process.rs
+++ b/crates/front/src/process.rs
@@ -14,7 +14,7 @@
 use oleander_outlet::listen_socket;
 use oleander_plat::{DutyPort, FeedStore};
 use oleander_serve::{HttpSite, local_data, serve_app};
-use oleander_wire::{PeerHandler, PeerHub, PeerListener, listen_peers};
+use oleander_wire::{PeerHandler, PeerHub, PeerListener, serve_peers};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -75,7 +75,7 @@
         event!(node, InternalFault; "fault" => "a process has its links already");
     }
     let handler: Rc<dyn PeerHandler<MeshBody>> = Rc::new(mesh::MeshPeers(node.clone()));
-    let peers = listen_peers(peers, handler, traffic)?;
+    let peers = serve_peers(peers, handler, traffic)?;
     let app = App::new().app_data(local_data(node.clone())).route(READY_PATH, web::get().to(ready));
     let ready = serve_app(node.settings.ready, app).await?;
     let pages = App::new().app_data(local_data(node.clone())).configure(admin::configure);
--- a/crates/wire/src/hub.rs
+++ b/crates/wire/src/hub.rs
@@ -1,6 +1,7 @@
-//! Outgoing links: one a peer, made when first needed, closed when idle.
+//! Outgoing peer connections. Each peer has one WebSocket connection, opened on the first call and
+//! closed when idle.
 
-use crate::message::{FRAME_LIMIT, PeerBody, encode_frame, read_frame};
+use crate::message::{MAX_FRAME_BYTES, PeerBody, encode_frame, read_frame};
 use crate::{Result, WireError};
 use actix::{Actor, AsyncContext, Context, Handler, Message, ResponseFuture};
 use bytes::Bytes;
@@ -19,123 +20,129 @@
 use tokio_tungstenite::tungstenite::Message as WsMessage;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
-/// Frames that may wait for one link.
-const LINK_QUEUE: usize = 1024;
-/// A link without a call for this long is closed.
-const LINK_IDLE: Duration = Duration::from_secs(60);
-/// Time to make a connection.
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
+/// Maximum number of frames queued for one connection.
+const MAX_QUEUED_FRAMES: usize = 1024;
+/// Connections without calls for this long are closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Timeout for the TCP connect and, separately, for the WebSocket handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes and frames to and from peers.
+/// Counters for bytes and frames exchanged with peers.
 #[derive(Debug, Default)]
-pub struct TrafficCount {
+pub struct TrafficCounters {
     /// Bytes sent.
     pub sent: Cell<u64>,
     /// Bytes received.
     pub received: Cell<u64>,
     /// Frames sent and received.
     pub frames: Cell<u64>,
-    /// Bytes of requests and answers that are held for others; not control.
+    /// Bytes of requests and answers replicated for other processes, as opposed to control messages.
     pub held: Cell<u64>,
 }
 
-impl TrafficCount {
-    /// Counts a frame that was sent.
+impl TrafficCounters {
+    /// Counts one sent frame of `bytes` bytes.
     pub fn count_sent(&self, bytes: usize) {
         self.sent.set(self.sent.get() + bytes as u64);
         self.frames.set(self.frames.get() + 1);
     }
 
-    /// Counts a frame that was received.
+    /// Counts one received frame of `bytes` bytes.
     pub fn count_received(&self, bytes: usize) {
         self.received.set(self.received.get() + bytes as u64);
         self.frames.set(self.frames.get() + 1);
     }
 }
 
-/// The frame limits of every link.
-pub fn link_config() -> WebSocketConfig {
-    WebSocketConfig::default().max_message_size(Some(FRAME_LIMIT)).max_frame_size(Some(FRAME_LIMIT))
+/// Returns the WebSocket configuration of peer connections, which bounds messages and frames to
+/// [`MAX_FRAME_BYTES`].
+pub fn websocket_config() -> WebSocketConfig {
+    WebSocketConfig::default()
+        .max_message_size(Some(MAX_FRAME_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES))
 }
 
-type WaitingCalls<B> = Rc<RefCell<HashMap<u64, oneshot::Sender<B>>>>;
+type PendingCalls<B> = Rc<RefCell<HashMap<u64, oneshot::Sender<B>>>>;
 
-/// What travels on links.
-pub trait LinkBody: Serialize + DeserializeOwned + 'static {}
+/// A message type that can be exchanged over peer connections.
+pub trait PeerMessage: Serialize + DeserializeOwned + 'static {}
 
-impl<B: Serialize + DeserializeOwned + 'static> LinkBody for B {}
+impl<B: Serialize + DeserializeOwned + 'static> PeerMessage for B {}
 
-struct PeerLink<B> {
+struct PeerConnection<B> {
     queue: mpsc::Sender<Bytes>,
-    waiting: WaitingCalls<B>,
+    pending: PendingCalls<B>,
     used_at: Instant,
 }
 
-/// A call to the peer at `address`.
+/// Sends a call to the peer at `address` and waits for its answer.
 #[derive(Message)]
 #[rtype(result = "Result<B>")]
-pub struct CallPeer<B: LinkBody = PeerBody> {
-    /// `ip:port`.
+pub struct CallPeer<B: PeerMessage = PeerBody> {
+    /// Network address of the peer as `ip:port`.
     pub address: CompactString,
-    /// The message.
+    /// The message to send.
     pub body: B,
-    /// How long to wait for the answer.
+    /// Timeout for the answer.
     pub limit: TimeSpan,
 }
 
-/// Closes the link to a peer that does not answer. A connection may fall silent for good while new
-/// ones work; the next call then makes a new one.
+/// Closes the connection to a peer that does not answer. A connection can stop delivering data
+/// permanently while new connections work, so the next call opens a new one.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct ForgetPeer(pub CompactString);
+pub struct ClosePeer(pub CompactString);
 
-/// Owns the outgoing links.
-pub struct PeerHub<B: LinkBody = PeerBody> {
-    links: HashMap<CompactString, PeerLink<B>>,
+/// Actor that owns the outgoing peer connections and matches answers to calls.
+pub struct PeerHub<B: PeerMessage = PeerBody> {
+    connections: HashMap<CompactString, PeerConnection<B>>,
     next_number: u64,
-    traffic: Rc<TrafficCount>,
+    traffic: Rc<TrafficCounters>,
 }
 
-impl<B: LinkBody> PeerHub<B> {
-    /// A hub without links that counts into `traffic`.
-    pub fn new(traffic: Rc<TrafficCount>) -> Self {
-        PeerHub { links: HashMap::new(), next_number: 0, traffic }
+impl<B: PeerMessage> PeerHub<B> {
+    /// Creates a hub without connections that counts its traffic in `traffic`.
+    pub fn new(traffic: Rc<TrafficCounters>) -> Self {
+        PeerHub { connections: HashMap::new(), next_number: 0, traffic }
     }
 
-    fn link(&mut self, address: &CompactString) -> &mut PeerLink<B> {
-        let closed = self.links.get(address).is_some_and(|link| link.queue.is_closed());
+    fn connection(&mut self, address: &CompactString) -> &mut PeerConnection<B> {
+        let closed =
+            self.connections.get(address).is_some_and(|connection| connection.queue.is_closed());
         if closed {
-            self.links.remove(address);
+            self.connections.remove(address);
         }
         let traffic = self.traffic.clone();
-        self.links.entry(address.clone()).or_insert_with(|| open_link(address.clone(), traffic))
+        self.connections
+            .entry(address.clone())
+            .or_insert_with(|| open_connection(address.clone(), traffic))
     }
 
     fn close_idle(&mut self) {
-        self.links.retain(|_, link| {
-            let busy = !link.waiting.borrow().is_empty();
-            busy || link.used_at.elapsed() < LINK_IDLE
+        self.connections.retain(|_, connection| {
+            let busy = !connection.pending.borrow().is_empty();
+            busy || connection.used_at.elapsed() < IDLE_TIMEOUT
         });
     }
 }
 
-impl<B: LinkBody> Actor for PeerHub<B> {
+impl<B: PeerMessage> Actor for PeerHub<B> {
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        context.run_interval(LINK_IDLE / 4, |hub, _| hub.close_idle());
+        context.run_interval(IDLE_TIMEOUT / 4, |hub, _| hub.close_idle());
     }
 }
 
-impl<B: LinkBody> Handler<ForgetPeer> for PeerHub<B> {
+impl<B: PeerMessage> Handler<ClosePeer> for PeerHub<B> {
     type Result = ();
 
-    fn handle(&mut self, forget: ForgetPeer, _: &mut Self::Context) {
-        self.links.remove(&forget.0);
+    fn handle(&mut self, close: ClosePeer, _: &mut Self::Context) {
+        self.connections.remove(&close.0);
     }
 }
 
-impl<B: LinkBody> Handler<CallPeer<B>> for PeerHub<B> {
+impl<B: PeerMessage> Handler<CallPeer<B>> for PeerHub<B> {
     type Result = ResponseFuture<Result<B>>;
 
     fn handle(&mut self, call: CallPeer<B>, _: &mut Self::Context) -> Self::Result {
@@ -143,20 +150,20 @@
         let number = self.next_number;
         let CallPeer { address, body, limit } = call;
         let frame = encode_frame(number, body);
-        let link = self.link(&address);
-        link.used_at = Instant::now();
-        let (answer, answered) = oneshot::channel();
-        link.waiting.borrow_mut().insert(number, answer);
-        let waiting = link.waiting.clone();
-        let queued = link.queue.try_send(frame).is_ok();
+        let connection = self.connection(&address);
+        connection.used_at = Instant::now();
+        let (answer, receiver) = oneshot::channel();
+        connection.pending.borrow_mut().insert(number, answer);
+        let pending = connection.pending.clone();
+        let queued = connection.queue.try_send(frame).is_ok();
         Box::pin(async move {
             let unreached = || WireError::Unreached(address.to_string());
             if !queued {
-                waiting.borrow_mut().remove(&number);
+                pending.borrow_mut().remove(&number);
                 return Err(unreached());
             }
-            let outcome = actix_rt::time::timeout(limit.duration(), answered).await;
-            waiting.borrow_mut().remove(&number);
+            let outcome = actix_rt::time::timeout(limit.duration(), receiver).await;
+            pending.borrow_mut().remove(&number);
             match outcome {
                 Ok(Ok(body)) => Ok(body),
                 Ok(Err(_)) => Err(unreached()),
@@ -166,31 +173,35 @@
     }
 }
 
-fn open_link<B: LinkBody>(address: CompactString, traffic: Rc<TrafficCount>) -> PeerLink<B> {
-    let (queue, frames) = mpsc::channel(LINK_QUEUE);
-    let waiting = WaitingCalls::<B>::default();
-    let calls = waiting.clone();
+fn open_connection<B: PeerMessage>(
+    address: CompactString,
+    traffic: Rc<TrafficCounters>,
+) -> PeerConnection<B> {
+    let (queue, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
+    let pending = PendingCalls::<B>::default();
+    let calls = pending.clone();
     actix_rt::spawn(async move {
-        let _ = run_link(&address, frames, &calls, &traffic).await;
-        // Whoever still waits learns at once that no answer comes.
+        let _ = run_connection(&address, frames, &calls, &traffic).await;
+        // Dropping the senders fails all pending calls immediately.
         calls.borrow_mut().clear();
     });
-    PeerLink { queue, waiting, used_at: Instant::now() }
+    PeerConnection { queue, pending, used_at: Instant::now() }
 }
 
-async fn run_link<B: LinkBody>(
+async fn run_connection<B: PeerMessage>(
     address: &str,
     mut frames: mpsc::Receiver<Bytes>,
-    calls: &WaitingCalls<B>,
-    traffic: &TrafficCount,
+    calls: &PendingCalls<B>,
+    traffic: &TrafficCounters,
 ) -> Result<()> {
     let unreached = || WireError::Unreached(address.to_owned());
-    let connecting = actix_rt::time::timeout(CONNECT_LIMIT, TcpStream::connect(address)).await;
+    let connecting = actix_rt::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connecting.map_err(|_| unreached())?.map_err(|_| unreached())?;
     configure_socket(&stream, SocketBounds::default()).map_err(|_| unreached())?;
     let url = format!("ws://{address}/peer");
-    let opening = tokio_tungstenite::client_async_with_config(url, stream, Some(link_config()));
-    let opened = actix_rt::time::timeout(CONNECT_LIMIT, opening).await;
+    let opening =
+        tokio_tungstenite::client_async_with_config(url, stream, Some(websocket_config()));
+    let opened = actix_rt::time::timeout(CONNECT_TIMEOUT, opening).await;
     let (socket, _) = opened.map_err(|_| unreached())?.map_err(|_| unreached())?;
     let (mut sink, mut source) = socket.split();
     loop {
@@ -206,9 +217,9 @@
                 let WsMessage::Binary(bytes) = message else { continue };
                 traffic.count_received(bytes.len());
                 let frame = read_frame(&bytes)?;
-                let waiter = calls.borrow_mut().remove(&frame.number);
-                if let Some(waiter) = waiter {
-                    let _ = waiter.send(frame.body);
+                let sender = calls.borrow_mut().remove(&frame.number);
+                if let Some(sender) = sender {
+                    let _ = sender.send(frame.body);
                 }
             }
         }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,39 +1,40 @@
-//! Links between our own processes: CBOR messages over WebSocket, each a call with one answer.
+//! The protocol between the processes of a cluster: CBOR messages over WebSocket, where each call has
+//! one answer.
 //!
-//! A frame carries a message version, so that two releases can run side by side, and is bounded.
-//! A broken or oversized frame ends its connection and nothing else.
+//! Every frame carries a message version, so that two releases can run side by side, and has a
+//! maximum size. A malformed or oversized frame closes its connection and has no other effect.
 
 pub mod hub;
 pub mod message;
 pub mod serve;
 
-pub use hub::{CallPeer, ForgetPeer, LinkBody, PeerHub, TrafficCount};
+pub use hub::{CallPeer, ClosePeer, PeerHub, PeerMessage, TrafficCounters};
 pub use message::{
-    FoundRequest, KeptAnswer, NodeStatus, PeerBody, PeerFrame, PeerVerdict, ShadowRecord,
+    KeptAnswer, NodeStatus, PeerBody, PeerFrame, PeerVerdict, RequestLookup, ShadowRecord,
     decode_frame, encode_frame, read_frame,
 };
-pub use serve::{PeerHandler, PeerListener, bind_peers, listen_peers};
+pub use serve::{PeerHandler, PeerListener, bind_peer_listener, serve_peers};
 
 use oleander_kind::ResultCode;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a call to a peer brought no answer.
+    /// The reason why a call to a peer failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum WireError {
-        /// No connection, or it broke.
+        /// The connection could not be opened or was lost.
         Unreached(address: String) {
             display("{}: {}", ResultCode::PeerUnreached, address)
         }
-        /// No answer in time.
+        /// No answer arrived before the timeout.
         Timeout(address: String) {
             display("{}: {}", ResultCode::PeerTimeout, address)
         }
-        /// A frame that cannot be read.
+        /// A frame could not be decoded.
         BadFrame(detail: String) {
             display("{}: {}", ResultCode::PeerBadFrame, detail)
         }
-        /// A frame of another message version.
+        /// A frame has an unsupported message version.
         Release(version: u16) {
             display("{}: {}", ResultCode::PeerRelease, version)
         }
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages.
+//! The messages exchanged between processes, and the frames that carry them.
 
 use crate::{Result, WireError};
 use bytes::Bytes;
@@ -14,18 +14,18 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The message version this release speaks.
+/// The message version that this release sends and accepts.
 pub const MESSAGE_VERSION: u16 = 2;
-/// The most bytes of one frame.
-pub const FRAME_LIMIT: usize = 24 << 20;
+/// Maximum size of one frame in bytes.
+pub const MAX_FRAME_BYTES: usize = 24 << 20;
 
-/// One frame.
+/// A message with its version and call number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerFrame<B = PeerBody> {
-    /// Message version.
+    /// The message version.
     #[serde(rename = "v")]
     pub version: u16,
-    /// Matches an answer to its call.
+    /// The call number, which matches an answer to its call.
     #[serde(rename = "n")]
     pub number: u64,
     /// The message.
@@ -33,94 +33,96 @@
     pub body: B,
 }
 
-/// A request in flight, as another entry needs it to go on with it.
+/// A replicated copy of an in-flight request with the state that another entry needs to take it
+/// over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShadowRecord {
-    /// The request.
+    /// The request ID.
     pub id: RequestId,
-    /// Whose it is; only this account may ask for it.
+    /// The client account that sent it. Only this account may retrieve it.
     pub account: AccountName,
-    /// Its service.
+    /// The requested service.
     pub service: ServiceName,
-    /// Its body as it came.
+    /// The request body as received.
     pub body: Bytes,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requested a streamed answer.
     pub stream: bool,
-    /// The entry that runs it.
+    /// The entry that currently handles the request.
     pub owner: InstanceId,
-    /// The version it began on.
+    /// The model version on which it started.
     pub version: VersionName,
-    /// The endpoint that runs it.
+    /// The endpoint that executes it.
     pub endpoint: InstanceId,
-    /// The endpoint's address.
+    /// The network address of the endpoint.
     pub address: CompactString,
-    /// The stream's name there.
+    /// The endpoint's handle for the stream.
     pub handle: CompactString,
-    /// 0 is served first.
+    /// Scheduling priority; 0 is the highest.
     pub priority: u8,
     /// Wall-clock time by which the caller wants the answer.
     pub deadline: ClockTime,
-    /// The part of the answer that the owner has, as server-sent events; empty until it leaves.
+    /// The part of the answer that the owner has, as server-sent events. It is empty until the owner
+    /// leaves.
     pub shown: Bytes,
 }
 
-/// An answer that is kept for callers who ask again.
+/// A completed answer that is stored for callers who repeat the request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// The request.
+    /// The request ID.
     pub id: RequestId,
-    /// Whose it is.
+    /// The client account that sent the request.
     pub account: AccountName,
-    /// What tells its request from another with the same id.
+    /// Fingerprint of the request, which distinguishes it from another request with the same ID.
     pub digest: [u8; 16],
-    /// HTTP status.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// Headers that are passed on.
+    /// Response headers that are forwarded to the caller.
     pub headers: Vec<(CompactString, Bytes)>,
-    /// The whole body; of a model answer, its events.
+    /// The complete body. For a model answer, this is its server-sent events.
     pub body: Bytes,
-    /// Tokens in it; 0 for plain answers.
+    /// Number of tokens in the answer; 0 for plain services.
     pub tokens: u64,
-    /// Whether the caller wanted events.
+    /// Whether the caller requested server-sent events.
     pub events: bool,
 }
 
-/// How one process stands, as operators see it.
+/// The status of one process as shown to operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Its instance.
+    /// The instance ID of the process.
     pub instance: InstanceId,
-    /// The generation in force there.
+    /// The bundle generation in force in the process.
     pub generation: u64,
-    /// Since it knew that this generation is the newest, in milliseconds.
+    /// Milliseconds since the process last knew that this generation was the newest.
     pub age_ms: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u64,
 }
 
-/// What a process knows of a request.
+/// The result of looking up a request in a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum FoundRequest {
-    /// Nothing.
+pub enum RequestLookup {
+    /// The request is unknown.
     Nothing,
-    /// Its whole answer.
+    /// The request completed and its answer is stored.
     Kept(KeptAnswer),
-    /// It runs; the asker may go on with it.
+    /// The request is running, and the caller of the lookup may take it over.
     Running(Box<ShadowRecord>),
-    /// A non-idempotent request that runs at its owner.
+    /// A non-idempotent request is running at its owner.
     Busy,
 }
 
-/// A claim's verdict as it is sent.
+/// The wire form of [`ClaimVerdict`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerVerdict {
-    /// The asker may send.
+    /// The claim was granted, and the requesting process may send the request.
     Granted,
-    /// Another request has the key.
+    /// The key is already claimed by the given record.
     Held(ClaimRecord),
-    /// Not claimed; a result code.
+    /// The claim could not be made; contains the result code number.
     Unavailable(u16),
 }
 
@@ -147,180 +149,182 @@
     }
 }
 
-/// The messages: calls and their answers.
+/// All messages between entries: calls and their answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerBody {
-    /// A probe of membership.
+    /// A membership probe.
     Probe {
         /// The sender.
         from: MemberRecord,
-        /// What it has of the endpoint list.
+        /// Summary of the sender's endpoint list.
         list: ListSummary,
-        /// Number, generation and news.
+        /// Probe number, bundle generation and membership updates.
         message: ProbeMessage,
     },
     /// The answer to a probe.
     ProbeAnswer {
         /// The sender.
         from: MemberRecord,
-        /// What it has of the endpoint list.
+        /// Summary of the sender's endpoint list.
         list: ListSummary,
-        /// Number, generation and news.
+        /// Probe number, bundle generation and membership updates.
         message: ProbeMessage,
     },
-    /// Probe this address in my place.
+    /// Asks the receiver to probe an address on behalf of the sender.
     HelpProbe {
-        /// The address.
+        /// The address to probe.
         address: CompactString,
     },
-    /// Whether the helper reached it.
+    /// The answer to `HelpProbe`.
     Helped {
-        /// Whether it answered.
+        /// Whether the probed address answered.
         reached: bool,
     },
-    /// Give me the bundle if yours is above this generation.
+    /// Requests the bundle if the receiver has a newer generation.
     AskBundle {
-        /// The asker's generation.
+        /// The sender's generation.
         generation: u64,
     },
-    /// The bundle's bytes, or nothing newer.
+    /// The answer to `AskBundle`.
     BundleIs {
-        /// The signed bundle.
+        /// The signed bundle, or `None` if there is no newer one.
         bytes: Option<Bytes>,
     },
-    /// Claim this for me.
+    /// Requests a claim.
     AskClaim {
-        /// What is claimed.
+        /// The claim to record.
         record: ClaimRecord,
-        /// How long the asker waits, in milliseconds.
+        /// How long the sender waits for the answer, in milliseconds.
         wait_ms: u64,
     },
-    /// The claim's verdict.
+    /// The answer to `AskClaim`.
     ClaimIs {
         /// The verdict.
         verdict: PeerVerdict,
     },
-    /// Hold this request in case I cannot go on.
+    /// Replicates an in-flight request in case the sender cannot finish it.
     PutShadow {
-        /// The request.
+        /// The replicated request.
         record: Box<ShadowRecord>,
     },
-    /// Keep this answer.
+    /// Stores a completed answer.
     PutAnswer {
-        /// The answer.
+        /// The answer to store.
         answer: KeptAnswer,
     },
-    /// These requests are over.
+    /// Removes the replicas of finished requests.
     DropShadow {
-        /// Their keys.
+        /// Keys of the finished requests.
         keys: Vec<ClaimKey>,
     },
-    /// I go on with this request of yours.
+    /// Tells the owner of a request that the sender has taken it over.
     Taken {
-        /// Its key.
+        /// Key of the request.
         key: ClaimKey,
     },
-    /// What do you know of this request?
+    /// Looks up a request.
     FindRequest {
-        /// Its key, made of account and id.
+        /// Key of the request, derived from its account and ID.
         key: ClaimKey,
     },
-    /// What is known.
+    /// The answer to `FindRequest`.
     Found {
-        /// The knowledge.
-        found: FoundRequest,
+        /// The lookup result.
+        found: RequestLookup,
     },
-    /// Demand of accounts whose limits you own.
+    /// Reports demand for accounts whose limits the receiver owns.
     ReportDemand {
-        /// The reporter.
+        /// The reporting entry.
         entry: InstanceId,
         /// Demand by account.
         reports: Vec<(AccountName, DemandReport)>,
     },
-    /// Shares of the accounts.
+    /// The answer to `ReportDemand`.
     SharesAre {
-        /// Share by account.
+        /// Granted share by account.
         grants: Vec<(AccountName, ShareGrant)>,
     },
-    /// These endpoints are leaving.
+    /// Announces endpoints that are leaving.
     LeavingNews {
-        /// Instances and the wall-clock times of their ends.
+        /// Instance IDs and the wall-clock times of their termination, where known.
         leaving: Vec<(InstanceId, Option<ClockTime>)>,
     },
-    /// This generation is in force here; ask for it if yours is below.
+    /// Announces the sender's bundle generation. A receiver with an older one requests the bundle.
     BundleNews {
         /// The sender's generation.
         generation: u64,
-        /// Where the sender answers peers.
+        /// The address at which the sender accepts peer connections.
         address: CompactString,
     },
-    /// The endpoint list changed.
+    /// Announces a change of the endpoint list.
     ListNews {
         /// The change.
         change: ListChange,
     },
-    /// Give me your whole endpoint list.
+    /// Requests a snapshot of the endpoint list.
     AskList,
-    /// The whole endpoint list.
+    /// The answer to `AskList`: a snapshot of the endpoint list.
     ListIs {
-        /// When it was read.
+        /// When the list was read.
         stamp: ClockTime,
-        /// Its records.
+        /// The records of the list.
         records: Vec<EndpointRecord>,
     },
-    /// How do you stand?
+    /// Requests the status of a process.
     AskStatus,
-    /// How the process stands.
+    /// The answer to `AskStatus`.
     StatusIs {
         /// The status.
         status: NodeStatus,
     },
-    /// Done.
+    /// The call succeeded and has no other result.
     Done,
-    /// Refused, with a result code.
+    /// The call was refused.
     Refused {
-        /// The code's number.
+        /// The result code number.
         code: u16,
     },
 }
 
-/// Writes a frame.
+/// Encodes a message as a frame.
 pub fn encode_frame<B: Serialize>(number: u64, body: B) -> Bytes {
     let frame = PeerFrame { version: MESSAGE_VERSION, number, body };
     let mut bytes = Vec::new();
-    // Writing to memory fails only for values that cannot be encoded at all, which these can.
+    // Writing to a `Vec` cannot fail, and all message types can be encoded as CBOR.
     let _ = ciborium::into_writer(&frame, &mut bytes);
     Bytes::from(bytes)
 }
 
-/// Reads a frame of the entries' messages.
+/// Decodes a frame that carries a [`PeerBody`].
 ///
 /// # Errors
-/// As [`read_frame`].
+/// Returns the same errors as [`read_frame`].
 pub fn decode_frame(bytes: &[u8]) -> Result<PeerFrame> {
     read_frame(bytes)
 }
 
-/// Reads a frame whose message is a `B`.
+/// Decodes a frame that carries a message of type `B`.
 ///
 /// # Errors
-/// [`WireError::BadFrame`] or [`WireError::Release`].
+/// Returns [`WireError::BadFrame`] if the frame is malformed or too large, and
+/// [`WireError::Release`] if it has another message version.
 pub fn read_frame<B: DeserializeOwned>(bytes: &[u8]) -> Result<PeerFrame<B>> {
     #[derive(Deserialize)]
-    struct VersionProbe {
+    struct VersionField {
         v: u16,
     }
-    /// Nested values deeper than this are refused, so that a hostile frame cannot exhaust the stack.
-    const MOST_DEPTH: usize = 32;
+    /// Maximum nesting depth. Deeper values are rejected, so that a hostile frame cannot exhaust the
+    /// stack.
+    const MAX_DEPTH: usize = 32;
     let bad = |fault: String| WireError::BadFrame(fault);
-    if bytes.len() > FRAME_LIMIT {
+    if bytes.len() > MAX_FRAME_BYTES {
         return Err(bad(format!("{} bytes", bytes.len())));
     }
-    let probe: VersionProbe = ciborium::de::from_reader_with_recursion_limit(bytes, MOST_DEPTH)
+    let probe: VersionField = ciborium::de::from_reader_with_recursion_limit(bytes, MAX_DEPTH)
         .map_err(|fault| bad(fault.to_string()))?;
     if probe.v != MESSAGE_VERSION {
         return Err(WireError::Release(probe.v));
     }
-    ciborium::de::from_reader_with_recursion_limit(bytes, MOST_DEPTH)
+    ciborium::de::from_reader_with_recursion_limit(bytes, MAX_DEPTH)
         .map_err(|fault| bad(fault.to_string()))
 }
--- a/crates/wire/src/serve.rs
+++ b/crates/wire/src/serve.rs
@@ -1,6 +1,6 @@
-//! Incoming links.
+//! Incoming peer connections: accepts them, dispatches calls to a handler and sends the answers.
 
-use crate::hub::{LinkBody, TrafficCount, link_config};
+use crate::hub::{PeerMessage, TrafficCounters, websocket_config};
 use crate::message::{PeerBody, encode_frame, read_frame};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -15,25 +15,26 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_tungstenite::tungstenite::Message as WsMessage;
 
-/// Answers that may wait for one link.
-const ANSWER_QUEUE: usize = 1024;
-/// Calls of one peer that are worked on at once; more wait in the socket.
-const CALLS_AT_ONCE: usize = 256;
+/// Maximum number of answers queued for one connection.
+const MAX_QUEUED_ANSWERS: usize = 1024;
+/// Maximum number of concurrent calls per connection. Further calls wait in the socket buffer.
+const MAX_CONCURRENT_CALLS: usize = 256;
 
-/// Answers calls of peers.
+/// Handles calls from peers.
 pub trait PeerHandler<B = PeerBody>: 'static {
-    /// Answers one call.
+    /// Handles one call and returns the answer.
     fn answer(&self, body: B) -> Pin<Box<dyn Future<Output = B>>>;
 }
 
-/// A listener for peers; dropping it closes it, and the links that it accepted.
+/// A running listener for peer connections. Dropping it closes the listener and all connections it
+/// accepted.
 pub struct PeerListener {
     address: SocketAddr,
     accepting: JoinHandle<()>,
 }
 
 impl PeerListener {
-    /// Where it listens.
+    /// Returns the local address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -45,51 +46,52 @@
     }
 }
 
-/// Takes the address at which peers will be answered (port 0: any free one).
+/// Binds the listening socket for peer connections. Port 0 selects any free port.
 ///
 /// # Errors
-/// The system's, if it cannot listen there.
-pub async fn bind_peers(address: SocketAddr) -> std::io::Result<TcpListener> {
+/// Returns the operating system's error if the address cannot be bound.
+pub async fn bind_peer_listener(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
 
-/// Answers peers at `listener`.
+/// Accepts peer connections on `listener` and answers their calls with `handler`.
 ///
 /// # Errors
-/// The system's, if the listener has no address.
-pub fn listen_peers<B: LinkBody>(
+/// Returns the operating system's error if the listener has no local address.
+pub fn serve_peers<B: PeerMessage>(
     listener: TcpListener,
     handler: Rc<dyn PeerHandler<B>>,
-    traffic: Rc<TrafficCount>,
+    traffic: Rc<TrafficCounters>,
 ) -> std::io::Result<PeerListener> {
     let address = listener.local_addr()?;
     let accepting = actix_rt::spawn(async move {
-        let mut links = JoinSet::new();
+        let mut connections = JoinSet::new();
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                Some(_) = links.join_next() => continue,
+                Some(_) = connections.join_next() => continue,
             };
             let Ok((stream, _)) = accepted else { continue };
             if configure_socket(&stream, SocketBounds::default()).is_err() {
                 continue;
             }
-            links.spawn_local(serve_link(stream, handler.clone(), traffic.clone()));
+            connections.spawn_local(serve_connection(stream, handler.clone(), traffic.clone()));
         }
     });
     Ok(PeerListener { address, accepting })
 }
 
-async fn serve_link<B: LinkBody>(
+async fn serve_connection<B: PeerMessage>(
     stream: TcpStream,
     handler: Rc<dyn PeerHandler<B>>,
-    traffic: Rc<TrafficCount>,
+    traffic: Rc<TrafficCounters>,
 ) {
-    let opened = tokio_tungstenite::accept_async_with_config(stream, Some(link_config())).await;
+    let opened =
+        tokio_tungstenite::accept_async_with_config(stream, Some(websocket_config())).await;
     let Ok(socket) = opened else { return };
     let (mut sink, mut source) = socket.split();
-    let (answers, mut queue) = mpsc::channel::<Bytes>(ANSWER_QUEUE);
-    let places = Arc::new(Semaphore::new(CALLS_AT_ONCE));
+    let (answers, mut queue) = mpsc::channel::<Bytes>(MAX_QUEUED_ANSWERS);
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
     loop {
         tokio::select! {
             answer = queue.recv() => {
@@ -104,13 +106,13 @@
                 let WsMessage::Binary(bytes) = message else { continue };
                 traffic.count_received(bytes.len());
                 let Ok(frame) = read_frame(&bytes) else { return };
-                let Ok(place) = places.clone().acquire_owned().await else { return };
+                let Ok(permit) = permits.clone().acquire_owned().await else { return };
                 let answers = answers.clone();
                 let handler = handler.clone();
                 actix_rt::spawn(async move {
                     let body = handler.answer(frame.body).await;
                     let _ = answers.send(encode_frame(frame.number, body)).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
         }
