--- a/crates/edge/src/admin.rs
+++ b/crates/edge/src/admin.rs
@@ -46,7 +46,7 @@
         "frames": node.traffic.frames.get(),
         "held": node.traffic.held.get(),
     });
-    let blocks = node.router.borrow().remembered();
+    let blocks = node.router.borrow().indexed_blocks();
     let mut board = node.board.borrow_mut();
     board.summaries.insert("requests", requests);
     board.summaries.insert("peer_traffic", traffic);
--- a/crates/edge/src/kv.rs
+++ b/crates/edge/src/kv.rs
@@ -35,6 +35,6 @@
     if imported.is_ok() {
         node.meter.count_retry("kv_copy");
         let board = node.board.borrow();
-        node.router.borrow_mut().prefer(&board, &job.head.blocks, target);
+        node.router.borrow_mut().note_prefix_copy(&board, &job.head.blocks, target);
     }
 }
--- a/crates/edge/src/loads.rs
+++ b/crates/edge/src/loads.rs
@@ -94,5 +94,5 @@
     let Ok(events) = response.json::<Vec<CacheEvent>>().limit(EVENTS_LIMIT).await else { return };
     let events: Vec<_> = events.iter().map(|e| (e.seq, e.block, e.added)).collect();
     let mut board = node.board.borrow_mut();
-    node.router.borrow_mut().take_events(&mut board, key, &events);
+    node.router.borrow_mut().apply_cache_events(&mut board, key, &events);
 }
--- a/crates/edge/src/node.rs
+++ b/crates/edge/src/node.rs
@@ -16,7 +16,7 @@
 use oleander_list::ListReplica;
 use oleander_member::{MemberRecord, MemberSettings, MemberStage, MemberTable};
 use oleander_plat::HttpStore;
-use oleander_route::{HealthSettings, RouteController, RoutePolicy, RouteSettings};
+use oleander_route::{EndpointSelector, HealthSettings, RoutePolicy, RouteSettings};
 use oleander_wire::{CallPeer, PeerBody, PeerHub, TrafficCounters};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -49,7 +49,7 @@
     /// Lets bundles in.
     pub gate: RefCell<BundleGate>,
     /// Chooses endpoints.
-    pub router: RefCell<RouteController>,
+    pub router: RefCell<EndpointSelector>,
     /// When endpoints count as sick.
     pub health: HealthSettings,
     /// Counts against limits.
@@ -102,7 +102,7 @@
             stage: MemberStage::Alive,
         };
         let claims = ClaimDesk::start(&settings, store.clone(), clock);
-        let router = RouteController::new(
+        let router = EndpointSelector::new(
             settings.domain.clone(),
             RoutePolicy::Cost,
             RouteSettings::default(),
--- a/crates/edge/src/open.rs
+++ b/crates/edge/src/open.rs
@@ -14,7 +14,7 @@
 use oleander_flow::{Admitted, NextStep, RequestFlow, Running};
 use oleander_kind::{ClockTime, InstanceId, ResultCode, TimeSpan, VersionName};
 use oleander_plat::never_sent;
-use oleander_route::{RouteAsk, note_ended, note_failure};
+use oleander_route::{RouteRequest, note_ended, note_failure};
 use std::pin::Pin;
 use std::rc::Rc;
 
@@ -182,7 +182,7 @@
     let service = job.service();
     let version = job.version();
     let pinned = (!version.as_str().is_empty()).then_some(&version);
-    let ask = RouteAsk {
+    let ask = RouteRequest {
         service: &service,
         version: pinned,
         blocks: &job.head.blocks,
@@ -195,7 +195,7 @@
 
 fn note_sent(node: &EntryNode, job: &StreamJob, endpoint: EndpointKey) -> u64 {
     let service = job.service();
-    let ask = RouteAsk {
+    let ask = RouteRequest {
         service: &service,
         version: None,
         blocks: &job.head.blocks,
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -23,7 +23,7 @@
 use oleander_kind::{ClockTime, InstanceId, RequestId, ResultCode, ServiceName, TimeSpan};
 use oleander_member::owner_of;
 use oleander_plat::never_sent;
-use oleander_route::{RouteAsk, note_ended, note_failure, note_success};
+use oleander_route::{RouteRequest, note_ended, note_failure, note_success};
 use oleander_wire::{KeptAnswer, PeerBody, RequestLookup};
 use std::rc::Rc;
 
@@ -380,7 +380,7 @@
 
 fn choose(node: &EntryNode, ask: &PlainAsk, tried: &[InstanceId]) -> Option<EndpointKey> {
     let route =
-        RouteAsk { service: &ask.service, version: None, blocks: &[], prompt_tokens: 0, tried };
+        RouteRequest { service: &ask.service, version: None, blocks: &[], prompt_tokens: 0, tried };
     let board = node.board.borrow();
     node.router.borrow_mut().choose(&board, &route, node.clock.now(), node.random())
 }
--- a/crates/gauge/src/decide.rs
+++ b/crates/gauge/src/decide.rs
@@ -14,7 +14,7 @@
 use oleander_limit::{AccountLimits, DemandReport, LimitGate, LimitOwner};
 use oleander_list::ListReplica;
 use oleander_member::{MemberRecord, MemberSettings, MemberStage, MemberTable, ProbeMessage};
-use oleander_route::{RouteAsk, RouteController, RoutePolicy, RouteSettings};
+use oleander_route::{EndpointSelector, RoutePolicy, RouteRequest, RouteSettings};
 use oleander_wire::{PeerBody, encode_frame};
 use serde::{Deserialize, Serialize};
 use std::hint::black_box;
@@ -194,12 +194,12 @@
         let mut board = Blackboard::new();
         board.take_list((0..services_share).map(replica).collect(), NOW);
         let mut router =
-            RouteController::new(domain(0), RoutePolicy::Cost, RouteSettings::default());
+            EndpointSelector::new(domain(0), RoutePolicy::Cost, RouteSettings::default());
         let service = ServiceName::from("recipe-llm");
         nanos(2000, |at| {
             let blocks: Vec<u64> =
                 (0..PROMPT_BLOCKS).map(|block| mix_bits((at % 50) << 32 | block)).collect();
-            let ask = RouteAsk {
+            let ask = RouteRequest {
                 service: &service,
                 version: None,
                 blocks: &blocks,
@@ -221,7 +221,7 @@
             let board = board();
             let key = board.endpoints.iter().next().map(|(key, _)| key);
             state_kb(|| {
-                let mut record = oleander_route::PrefixRecord::new(PART as usize);
+                let mut record = oleander_route::PrefixIndex::new(PART as usize);
                 if let Some(key) = key {
                     (0..PART).for_each(|block| record.note(mix_bits(block), key, 0));
                 }
--- a/crates/gauge/src/policy.rs
+++ b/crates/gauge/src/policy.rs
@@ -11,7 +11,8 @@
 };
 use oleander_load::report::TimeSummary;
 use oleander_route::{
-    RouteAsk, RouteController, RoutePolicy, RouteSettings, note_ended, note_first_token, note_load,
+    EndpointSelector, RoutePolicy, RouteRequest, RouteSettings, note_ended, note_first_token,
+    note_load,
 };
 use oleander_standin::engine::{EngineModel, EngineShape, StreamAsk};
 use rand::rngs::StdRng;
@@ -78,7 +79,7 @@
 
 struct Entry {
     board: Blackboard,
-    router: RouteController,
+    router: EndpointSelector,
 }
 
 struct PolicyRun {
@@ -161,7 +162,7 @@
         let domain = DomainName::from(format!("d{}", at % DOMAINS).as_str());
         let mut board = Blackboard::new();
         board.take_list(records(shape.engines), ClockTime(0));
-        Entry { board, router: RouteController::new(domain, policy, settings) }
+        Entry { board, router: EndpointSelector::new(domain, policy, settings) }
     };
     let mut run = PolicyRun {
         entries: (0..shape.entries).map(entry).collect(),
@@ -206,7 +207,7 @@
         let clock = Self::clock(now);
         let request = &self.requests[at];
         let entry = &mut self.entries[request.entry];
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             service: &self.service,
             version: None,
             blocks: &request.head.blocks,
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,6 +1,6 @@
-//! The choice.
+//! Endpoint selection for one request.
 
-use crate::prefix::PrefixRecord;
+use crate::prefix::PrefixIndex;
 use oleander_board::{Blackboard, EndpointFact, EndpointKey, ReportedLoad};
 use oleander_kind::chat::BLOCK_TOKENS;
 use oleander_kind::hash::{mix_bits, rendezvous_weight};
@@ -8,41 +8,42 @@
     ClockTime, DomainName, EndpointRole, InstanceId, ServiceName, TimeSpan, VersionName,
 };
 
-/// How endpoints are compared. The others than [`RoutePolicy::Cost`] are baselines.
+/// The load balancing policy. Policies other than [`RoutePolicy::Cost`] are baselines for
+/// comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RoutePolicy {
-    /// Waiting work plus prompt tokens to compute.
+    /// Lowest cost of queued work plus prompt tokens to compute.
     #[default]
     Cost,
-    /// One after the other.
+    /// Each endpoint in turn.
     RoundRobin,
-    /// Fewest own requests in flight.
+    /// Fewest requests in flight from this process.
     LeastOutstanding,
-    /// The less loaded of two at random.
+    /// The less loaded of two randomly sampled endpoints.
     TwoChoices,
 }
 
-/// What the costs are made of.
+/// Parameters of the routing cost model.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteSettings {
-    /// Engine time of one prompt token, in microseconds.
+    /// Engine time to prefill one prompt token, in microseconds.
     pub prefill_token_us: u64,
-    /// Weight of prompt tokens that would be computed again, in percent of their own time. Above
-    /// 100, because the engine's other requests wait for them too, and because a further copy of a
-    /// prefix pushes others out of the cache.
+    /// Weight of prompt tokens that would be recomputed, in percent of their prefill time. It is
+    /// above 100 because the engine's other requests wait for the prefill too, and because another
+    /// copy of a prefix evicts others from the cache.
     pub recompute_percent: u64,
-    /// Part of a prompt that is taken for cached at its first home though nothing is known, in
-    /// percent: every process sends the prompt there.
+    /// Percentage of an unindexed prompt that is assumed to be cached at its first home endpoint,
+    /// because every process sends the prompt there.
     pub home_trust_percent: u64,
-    /// Delay a request suffers from each stream before it, in microseconds.
+    /// Delay that each stream already at the endpoint adds to a request, in microseconds.
     pub stream_us: u64,
-    /// Cost of leaving the failure domain, in microseconds.
+    /// Cost of using an endpoint in another failure domain, in microseconds.
     pub cross_domain_us: u64,
-    /// An endpoint's load counts double while it is new for this long.
+    /// Period after an endpoint is first seen in which its load counts double.
     pub slow_start: TimeSpan,
-    /// Endpoints compared at random besides those the prefix points at.
+    /// Number of randomly sampled candidates in addition to those selected by prefix.
     pub random_candidates: usize,
-    /// Endpoints that the prefix points at in every process alike.
+    /// Number of home endpoints of a prefix, which rendezvous hashing selects alike in every process.
     pub home_candidates: usize,
 }
 
@@ -61,130 +62,133 @@
     }
 }
 
-/// What is to be placed.
+/// A request for which an endpoint is selected.
 #[derive(Clone, Debug)]
-pub struct RouteAsk<'a> {
-    /// The service.
+pub struct RouteRequest<'a> {
+    /// The requested service.
     pub service: &'a ServiceName,
-    /// The version it must run on; none for any that the service has.
+    /// The required model version, or `None` for any version of the service.
     pub version: Option<&'a VersionName>,
-    /// The prompt's block hashes; empty for plain calls.
+    /// Block hashes of the prompt; empty for plain services.
     pub blocks: &'a [u64],
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Endpoints that were tried already and did not take it.
+    /// Endpoints that were already tried and did not accept the request.
     pub tried: &'a [InstanceId],
 }
 
-/// Chooses endpoints for one process.
-pub struct RouteController {
+/// Selects endpoints for the requests of one process.
+pub struct EndpointSelector {
     settings: RouteSettings,
     policy: RoutePolicy,
     domain: DomainName,
-    record: PrefixRecord,
-    turn: usize,
+    prefixes: PrefixIndex,
+    next_index: usize,
 }
 
-/// Blocks remembered by one process: 200,000 blocks of 16 tokens.
-const RECORD_BLOCKS: usize = 200_000;
-/// The block whose hash names a prompt's home: the fourth, past a shared opening line, or the last
-/// of a shorter prompt.
-const HOME_BLOCK: usize = 3;
+/// Maximum number of prefix blocks that one process indexes: 200,000 blocks of 16 tokens.
+const MAX_INDEXED_BLOCKS: usize = 200_000;
+/// Index of the block whose hash determines the home endpoints of a prompt. The fourth block lies
+/// past a shared opening line; a shorter prompt uses its last block.
+const HOME_BLOCK_INDEX: usize = 3;
 
-impl RouteController {
-    /// A controller for a process in `domain`.
+impl EndpointSelector {
+    /// Creates a selector for a process in `domain`.
     pub fn new(domain: DomainName, policy: RoutePolicy, settings: RouteSettings) -> Self {
-        let record = PrefixRecord::new(RECORD_BLOCKS);
-        RouteController { settings, policy, domain, record, turn: 0 }
+        let prefixes = PrefixIndex::new(MAX_INDEXED_BLOCKS);
+        EndpointSelector { settings, policy, domain, prefixes, next_index: 0 }
     }
 
-    /// The prefix record.
-    pub fn record(&mut self) -> &mut PrefixRecord {
-        &mut self.record
+    /// Returns the prefix index.
+    pub fn prefixes(&mut self) -> &mut PrefixIndex {
+        &mut self.prefixes
     }
 
-    /// Blocks remembered.
-    pub fn remembered(&self) -> usize {
-        self.record.len()
+    /// Returns the number of indexed prefix blocks.
+    pub fn indexed_blocks(&self) -> usize {
+        self.prefixes.len()
     }
 
-    /// Chooses an endpoint, or none if no endpoint takes work. `random` decides ties and samples.
+    /// Selects an endpoint, or returns `None` if no endpoint accepts work. `random` seeds the sampling
+    /// of candidates and so breaks ties.
     pub fn choose(
         &mut self,
         board: &Blackboard,
-        ask: &RouteAsk<'_>,
+        request: &RouteRequest<'_>,
         now: ClockTime,
         random: u64,
     ) -> Option<EndpointKey> {
         let usable: Vec<EndpointKey> = board
-            .endpoints_of(ask.service)
+            .endpoints_of(request.service)
             .iter()
             .copied()
-            .filter(|key| is_usable(board, *key, ask, now))
+            .filter(|key| is_usable(board, *key, request, now))
             .collect();
         match self.policy {
-            RoutePolicy::RoundRobin => self.next_in_turn(&usable),
+            RoutePolicy::RoundRobin => self.next_round_robin(&usable),
             RoutePolicy::LeastOutstanding => {
                 let load = |key: &EndpointKey| board.endpoints.get(*key).map_or(0, |f| f.in_flight);
                 usable.iter().copied().min_by_key(load)
             }
             RoutePolicy::TwoChoices => {
-                let load = |key: &EndpointKey| board.endpoints.get(*key).map_or(0, known_streams);
+                let load =
+                    |key: &EndpointKey| board.endpoints.get(*key).map_or(0, estimated_streams);
                 sample(&usable, 2, random).into_iter().min_by_key(load)
             }
-            RoutePolicy::Cost => self.cheapest(board, &usable, ask, (now, random)),
+            RoutePolicy::Cost => self.cheapest(board, &usable, request, (now, random)),
         }
     }
 
-    fn next_in_turn(&mut self, usable: &[EndpointKey]) -> Option<EndpointKey> {
-        self.turn = self.turn.wrapping_add(1);
-        if usable.is_empty() { None } else { Some(usable[self.turn % usable.len()]) }
+    fn next_round_robin(&mut self, usable: &[EndpointKey]) -> Option<EndpointKey> {
+        self.next_index = self.next_index.wrapping_add(1);
+        if usable.is_empty() { None } else { Some(usable[self.next_index % usable.len()]) }
     }
 
     fn cheapest(
         &self,
         board: &Blackboard,
         usable: &[EndpointKey],
-        ask: &RouteAsk<'_>,
+        request: &RouteRequest<'_>,
         (now, random): (ClockTime, u64),
     ) -> Option<EndpointKey> {
-        let home = ask
+        let home = request
             .blocks
-            .get(HOME_BLOCK)
-            .or(ask.blocks.last())
+            .get(HOME_BLOCK_INDEX)
+            .or(request.blocks.last())
             .and_then(|block| self.homes(board, usable, *block).first().copied());
-        let candidates = self.candidates(board, usable, ask, random);
+        let candidates = self.candidates(board, usable, request, random);
         candidates.into_iter().min_by_key(|key| {
             let fact = board.endpoints.get(*key);
-            fact.map_or(u64::MAX, |fact| self.cost((*key, home), fact, ask, now))
+            fact.map_or(u64::MAX, |fact| self.cost((*key, home), fact, request, now))
         })
     }
 
-    /// A few endpoints worth comparing. Comparing all would make every process choose the same
-    /// least loaded one from the same late report, and the crowd would move from one endpoint to
-    /// the next; and it would cost time with the number of endpoints.
+    /// Returns a small set of endpoints to compare. If all endpoints were compared, every process
+    /// would select the same least loaded one from the same stale report, a thundering herd that
+    /// moves from endpoint to endpoint. The time would also grow with the number of endpoints.
     fn candidates(
         &self,
         board: &Blackboard,
         usable: &[EndpointKey],
-        ask: &RouteAsk<'_>,
+        request: &RouteRequest<'_>,
         random: u64,
     ) -> Vec<EndpointKey> {
-        let wanted = self.settings.random_candidates + self.settings.home_candidates;
-        if usable.len() <= wanted {
+        let candidate_count = self.settings.random_candidates + self.settings.home_candidates;
+        if usable.len() <= candidate_count {
             return usable.to_vec();
         }
         let mut candidates = sample(usable, self.settings.random_candidates, random);
-        if let Some(block) = ask.blocks.get(HOME_BLOCK).or(ask.blocks.last()) {
+        if let Some(block) = request.blocks.get(HOME_BLOCK_INDEX).or(request.blocks.last()) {
             candidates.extend(self.homes(board, usable, *block));
         }
-        if let Some(block) = ask.blocks.last() {
-            candidates.extend(self.record.holders(*block).filter(|key| usable.contains(key)));
+        if let Some(block) = request.blocks.last() {
+            candidates.extend(self.prefixes.holders(*block).filter(|key| usable.contains(key)));
         }
         candidates
     }
 
-    /// The endpoints every process points this prefix at, without a word between processes.
+    /// Returns the home endpoints of a prefix by rendezvous hashing, which gives the same result in
+    /// every process without communication.
     fn homes(&self, board: &Blackboard, usable: &[EndpointKey], block: u64) -> Vec<EndpointKey> {
         let weight = |key: &EndpointKey| {
             let fact = board.endpoints.get(*key);
@@ -203,16 +207,16 @@
         &self,
         (key, home): (EndpointKey, Option<EndpointKey>),
         fact: &EndpointFact,
-        ask: &RouteAsk<'_>,
+        request: &RouteRequest<'_>,
         now: ClockTime,
     ) -> u64 {
-        let mut waiting = u64::from(known_streams(fact)) * self.settings.stream_us;
-        waiting += known_prefill(fact) * self.settings.prefill_token_us;
+        let mut waiting = u64::from(estimated_streams(fact)) * self.settings.stream_us;
+        waiting += estimated_prefill(fact) * self.settings.prefill_token_us;
         if now - fact.seen_at < self.settings.slow_start {
             waiting *= 2;
         }
-        let held = self.record.cached_blocks(ask.blocks, key, fact.cache_epoch) as u64;
-        let mut missing = ask.prompt_tokens.saturating_sub(held * BLOCK_TOKENS);
+        let cached = self.prefixes.cached_blocks(request.blocks, key, fact.cache_epoch) as u64;
+        let mut missing = request.prompt_tokens.saturating_sub(cached * BLOCK_TOKENS);
         if home == Some(key) {
             missing = missing * (100 - self.settings.home_trust_percent.min(100)) / 100;
         }
@@ -224,13 +228,13 @@
         cost
     }
 
-    /// Notes that a request was sent, so that the next choice sees it before any report does.
-    /// Returns the prompt tokens it makes the endpoint compute.
+    /// Notes that a request was sent, so that the next selection accounts for it before the next
+    /// load report arrives. Returns the number of prompt tokens that the endpoint must prefill.
     pub fn note_sent(
         &mut self,
         board: &mut Blackboard,
         key: EndpointKey,
-        ask: &RouteAsk<'_>,
+        request: &RouteRequest<'_>,
     ) -> u64 {
         let Some(fact) = board.endpoints.get_mut(key) else {
             return 0;
@@ -239,29 +243,30 @@
         fact.sent_since_report += 1;
         let mut prefill = 0;
         if fact.record.role == EndpointRole::Engine {
-            let held = self.record.cached_blocks(ask.blocks, key, fact.cache_epoch) as u64;
-            prefill = ask.prompt_tokens.saturating_sub(held * BLOCK_TOKENS);
+            let cached = self.prefixes.cached_blocks(request.blocks, key, fact.cache_epoch) as u64;
+            prefill = request.prompt_tokens.saturating_sub(cached * BLOCK_TOKENS);
             fact.prefill_sent += prefill;
         }
         let epoch = fact.cache_epoch;
-        for block in ask.blocks {
-            self.record.note(*block, key, epoch);
+        for block in request.blocks {
+            self.prefixes.note(*block, key, epoch);
         }
         prefill
     }
 
-    /// Notes that `endpoint` was given these blocks by another endpoint.
-    pub fn prefer(&mut self, board: &Blackboard, blocks: &[u64], endpoint: EndpointKey) {
+    /// Notes that these blocks were copied to `endpoint` from another endpoint.
+    pub fn note_prefix_copy(&mut self, board: &Blackboard, blocks: &[u64], endpoint: EndpointKey) {
         let Some(fact) = board.endpoints.get(endpoint) else {
             return;
         };
         for block in blocks {
-            self.record.note(*block, endpoint, fact.cache_epoch);
+            self.prefixes.note(*block, endpoint, fact.cache_epoch);
         }
     }
 
-    /// Takes cache events of an endpoint: `(number, block, added)`, in order.
-    pub fn take_events(
+    /// Applies cache events of an endpoint, given in order as `(number, block, added)`. A gap in the
+    /// numbers starts a new cache epoch.
+    pub fn apply_cache_events(
         &mut self,
         board: &mut Blackboard,
         key: EndpointKey,
@@ -276,22 +281,23 @@
             }
             fact.cache_seq = fact.cache_seq.max(*number);
             if *added {
-                self.record.note(*block, key, fact.cache_epoch);
+                self.prefixes.note(*block, key, fact.cache_epoch);
             } else {
-                self.record.drop_block(*block, key);
+                self.prefixes.remove_holder(*block, key);
             }
         }
     }
 }
 
-/// Notes that the first token came, so that `prefill` prompt tokens no longer wait.
+/// Notes that the first token of a request arrived, so that its `prefill` prompt tokens are no
+/// longer pending.
 pub fn note_first_token(board: &mut Blackboard, key: EndpointKey, prefill: u64) {
     if let Some(fact) = board.endpoints.get_mut(key) {
         fact.prefill_sent = fact.prefill_sent.saturating_sub(prefill);
     }
 }
 
-/// Notes that a request sent to `key` is over.
+/// Notes that a request sent to `key` ended.
 pub fn note_ended(board: &mut Blackboard, key: EndpointKey) {
     if let Some(fact) = board.endpoints.get_mut(key) {
         fact.in_flight = fact.in_flight.saturating_sub(1);
@@ -301,7 +307,7 @@
     }
 }
 
-/// Notes a load report that came at `now`.
+/// Notes a load report that arrived at `now`.
 pub fn note_load(board: &mut Blackboard, key: EndpointKey, load: ReportedLoad, now: ClockTime) {
     if let Some(fact) = board.endpoints.get_mut(key) {
         fact.load = Some((now, load));
@@ -309,22 +315,27 @@
     }
 }
 
-fn is_usable(board: &Blackboard, key: EndpointKey, ask: &RouteAsk<'_>, now: ClockTime) -> bool {
+fn is_usable(
+    board: &Blackboard,
+    key: EndpointKey,
+    request: &RouteRequest<'_>,
+    now: ClockTime,
+) -> bool {
     let Some(fact) = board.endpoints.get(key) else {
         return false;
     };
-    let fits = ask.version.is_none_or(|version| fact.record.version == *version);
-    fits && fact.takes_work(now) && !ask.tried.contains(&fact.record.instance)
+    let fits = request.version.is_none_or(|version| fact.record.version == *version);
+    fits && fact.takes_work(now) && !request.tried.contains(&fact.record.instance)
 }
 
-/// Streams at an endpoint: its own late report plus what was sent from here since, or what is in
-/// flight from here if that is more.
-fn known_streams(fact: &EndpointFact) -> u32 {
+/// Estimates the number of streams at an endpoint: its last report plus the requests sent by this
+/// process since, or the requests in flight from this process if that is more.
+fn estimated_streams(fact: &EndpointFact) -> u32 {
     let reported = fact.load.map_or(0, |(_, load)| load.running + load.waiting);
     (reported + fact.sent_since_report).max(fact.in_flight)
 }
 
-fn known_prefill(fact: &EndpointFact) -> u64 {
+fn estimated_prefill(fact: &EndpointFact) -> u64 {
     let reported = fact.load.map_or(0, |(_, load)| load.prefill);
     reported.max(fact.prefill_sent)
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,15 +1,17 @@
-//! Chooses the endpoint of each attempt.
+//! Selects the endpoint for each attempt of a request.
 //!
-//! Two costs are weighed in one unit, microseconds of engine time: the work that waits before this
-//! request, and the prompt tokens that would be computed again because the endpoint lacks their
-//! prefix. Nothing here asks anybody: a choice costs a few lookups.
+//! The cost of an endpoint, in microseconds of engine time, combines the work queued ahead of the
+//! request with the prompt tokens that must be recomputed because their prefix is not in the
+//! endpoint's cache. Selection uses only local state, without any communication, and costs a few
+//! lookups.
 
 pub mod choose;
 pub mod health;
 pub mod prefix;
 
 pub use choose::{
-    RouteAsk, RouteController, RoutePolicy, RouteSettings, note_ended, note_first_token, note_load,
+    EndpointSelector, RoutePolicy, RouteRequest, RouteSettings, note_ended, note_first_token,
+    note_load,
 };
 pub use health::{HealthSettings, note_failure, note_success};
-pub use prefix::PrefixRecord;
+pub use prefix::PrefixIndex;
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -1,10 +1,10 @@
-//! What this process believes the endpoints' prefix caches hold.
+//! An index of the prefix blocks that endpoints are believed to have cached.
 
 use oleander_board::EndpointKey;
 use std::collections::{HashMap, VecDeque};
 
-/// Endpoints remembered for one block.
-const HOLDERS: usize = 3;
+/// Maximum number of endpoints indexed for one block.
+const MAX_HOLDERS: usize = 3;
 
 #[derive(Clone, Copy)]
 struct BlockHolder {
@@ -14,40 +14,40 @@
 
 #[derive(Clone, Copy, Default)]
 struct HolderList {
-    holders: [Option<BlockHolder>; HOLDERS],
+    holders: [Option<BlockHolder>; MAX_HOLDERS],
     next: u8,
     stamp: u64,
 }
 
-/// A bounded record of which endpoint was sent, or reported, which prefix block.
+/// A bounded index of the endpoints to which each prefix block was sent, or that reported it.
 ///
-/// The engines publish cache events late and with gaps. The record is therefore made first from
-/// what this process itself sent, and events only correct it. After a gap everything known of that
-/// endpoint counts half (see `cached_blocks`), until it is seen again.
-pub struct PrefixRecord {
+/// Engines publish cache events late and with gaps. The index is therefore built from the requests
+/// that this process sent, and cache events only correct it. After a gap in an endpoint's events,
+/// its indexed blocks count half (see `cached_blocks`) until they are seen again.
+pub struct PrefixIndex {
     blocks: HashMap<u64, HolderList>,
     order: VecDeque<(u64, u64)>,
     clock: u64,
     limit: usize,
 }
 
-impl PrefixRecord {
-    /// A record of at most `limit` blocks.
+impl PrefixIndex {
+    /// Creates an index of at most `limit` blocks.
     pub fn new(limit: usize) -> Self {
-        PrefixRecord { blocks: HashMap::new(), order: VecDeque::new(), clock: 0, limit }
+        PrefixIndex { blocks: HashMap::new(), order: VecDeque::new(), clock: 0, limit }
     }
 
-    /// How many blocks are remembered.
+    /// Returns the number of indexed blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Notes that `endpoint` has `block`, as known in its cache epoch `epoch`.
+    /// Notes that `endpoint` has cached `block` in its cache epoch `epoch`.
     pub fn note(&mut self, block: u64, endpoint: EndpointKey, epoch: u32) {
         self.clock += 1;
         let list = self.blocks.entry(block).or_default();
@@ -58,15 +58,15 @@
             Some(known) => *known = holder,
             None => {
                 list.holders[usize::from(list.next)] = Some(holder);
-                list.next = (list.next + 1) % HOLDERS as u8;
+                list.next = (list.next + 1) % MAX_HOLDERS as u8;
             }
         }
         self.order.push_back((block, self.clock));
-        self.shrink();
+        self.evict_oldest();
     }
 
-    /// Notes that `endpoint` dropped `block`.
-    pub fn drop_block(&mut self, block: u64, endpoint: EndpointKey) {
+    /// Notes that `endpoint` evicted `block`.
+    pub fn remove_holder(&mut self, block: u64, endpoint: EndpointKey) {
         let Some(list) = self.blocks.get_mut(&block) else {
             return;
         };
@@ -77,22 +77,24 @@
         }
     }
 
-    /// The endpoints believed to hold `block`.
+    /// Returns the endpoints that are believed to have cached `block`.
     pub fn holders(&self, block: u64) -> impl Iterator<Item = EndpointKey> + '_ {
         let list = self.blocks.get(&block);
         list.into_iter().flat_map(|list| list.holders.iter().flatten().map(|held| held.endpoint))
     }
 
-    /// How many leading blocks of `blocks` the endpoint is believed to hold, in its cache epoch
-    /// `epoch`. Blocks known only from before a gap in its events count half.
+    /// Returns how many leading blocks of `blocks` the endpoint is believed to have cached in its
+    /// cache epoch `epoch`. If the last of them was indexed before a gap in the endpoint's events,
+    /// they count half.
     pub fn cached_blocks(&self, blocks: &[u64], endpoint: EndpointKey, epoch: u32) -> usize {
-        // A cache holds a block only with all blocks before it, so the length can be searched for.
+        // A cache that holds a block also holds all blocks before it, so binary search finds the length.
         let held = blocks.partition_point(|block| self.holder(*block, endpoint).is_some());
         let Some(last) = held.checked_sub(1) else {
             return 0;
         };
-        let sure = self.holder(blocks[last], endpoint).is_some_and(|held| held.epoch == epoch);
-        if sure { held } else { held / 2 }
+        let is_current =
+            self.holder(blocks[last], endpoint).is_some_and(|held| held.epoch == epoch);
+        if is_current { held } else { held / 2 }
     }
 
     fn holder(&self, block: u64, endpoint: EndpointKey) -> Option<BlockHolder> {
@@ -100,7 +102,7 @@
         list.holders.iter().flatten().find(|held| held.endpoint == endpoint).copied()
     }
 
-    fn shrink(&mut self) {
+    fn evict_oldest(&mut self) {
         while self.blocks.len() > self.limit {
             let Some((block, stamp)) = self.order.pop_front() else {
                 return;
@@ -109,7 +111,7 @@
                 self.blocks.remove(&block);
             }
         }
-        // Blocks noted again leave stale marks behind; drop those in front.
+        // Noting a block again leaves its earlier entry in the queue. Remove stale entries at the front.
         while self.order.len() > 2 * self.limit {
             let Some((block, stamp)) = self.order.pop_front() else {
                 return;
