--- a/crates/front/src/feeds.rs
+++ b/crates/front/src/feeds.rs
@@ -148,7 +148,7 @@
         biased;
         answer = node.store.watch(kind, from, wait) => Some(answer),
         () = grown_old(node, kind) => {
-            node.store.renew_links();
+            node.store.reset_connections();
             None
         }
     }
@@ -169,7 +169,7 @@
         let pause = left.map_or(STANDBY_PAUSE, |left| left.min(STANDBY_PAUSE));
         actix_rt::time::sleep(pause.duration()).await;
     }
-    node.store.renew_links();
+    node.store.reset_connections();
 }
 
 fn note_feed(node: &FrontNode, kind: FeedKind, state: &Cell<FeedState>, fault: Option<&PlatError>) {
--- a/crates/plat/src/feed.rs
+++ b/crates/plat/src/feed.rs
@@ -147,7 +147,7 @@
     ) -> LocalBoxFuture<'a, Result<FeedWrite>>;
 
     /// Gives up kept connections, so that the next call makes a new one: they can fall silent for good.
-    fn renew_links(&self) {}
+    fn reset_connections(&self) {}
 
     /// Removes an object.
     fn remove<'a>(&'a self, kind: FeedKind, name: &'a str) -> LocalBoxFuture<'a, Result<()>>;
--- a/src/bin/oleander-front.rs
+++ b/src/bin/oleander-front.rs
@@ -6,7 +6,7 @@
 use oleandertack::front::{FrontPorts, start_front};
 use oleandertack::outlet::HttpCodec;
 use oleandertack::plat::DutyPort;
-use oleandertack::platform::{CloudClient, ObjectsDialect, SETTINGS_VARIABLE, StoreClient};
+use oleandertack::platform::{CloudClient, HttpDialect, SETTINGS_VARIABLE, StoreClient};
 use oleandertack::start::{read_or_exit_with, wait_stop};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -29,7 +29,7 @@
         });
         let ports = FrontPorts { store, cloud, clock: NodeClock::default() };
         let path = arguments.settings.or(default_path);
-        match start_front(settings, log, Box::new(ObjectsDialect), ports, path).await {
+        match start_front(settings, log, Box::new(HttpDialect), ports, path).await {
             Ok(process) => {
                 wait_stop().await;
                 process.stop().await;
--- a/tests/all/adapter.rs
+++ b/tests/all/adapter.rs
@@ -10,7 +10,7 @@
 use oleandertack::kind::endpoint::{EndpointStage, InstanceMarket};
 use oleandertack::kind::{ClockTime, RequestRate, TimeSpan};
 use oleandertack::plat::FeedObject;
-use oleandertack::platform::ObjectsDialect;
+use oleandertack::platform::HttpDialect;
 use oleandertack::release::ReleaseState;
 use std::path::{Path, PathBuf};
 
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn a_config_is_read_into_what_its_fields_mean() {
-    let rules = ObjectsDialect.decode_rules(&object("main", CONFIG)).expect("a whole config");
+fn a_config_decodes_to_the_meaning_of_its_fields() {
+    let rules = HttpDialect.decode_rules(&object("main", CONFIG)).expect("a whole config");
 
     let route = |path| rules.route(rules.route_of("h.example", path).expect("a route"));
     assert_eq!((rules.version(), rules.bounds().idle_timeout), (7, TimeSpan(15_000)));
@@ -48,26 +48,26 @@
 }
 
 #[test]
-fn a_config_that_cannot_be_read_is_an_error_and_not_an_empty_one() {
+fn an_unreadable_config_is_an_error_and_not_an_empty_config() {
     for broken in ["", "null", "{}", &CONFIG[..200], &CONFIG.replace("\"version\":7", "\"v\":7")] {
-        assert!(ObjectsDialect.decode_rules(&object("main", broken)).is_err(), "{broken:.40}");
+        assert!(HttpDialect.decode_rules(&object("main", broken)).is_err(), "{broken:.40}");
     }
 }
 
 /// A roll-out is not carried out, or its operators are told what is not so: names of the platform's are misread.
 #[test]
-fn an_order_of_a_rollout_is_read_and_its_state_written() {
+fn a_rollout_order_is_decoded_and_its_state_encoded() {
     let spec = r#"{"service":"s","to":"v2","duration-s":12.5}"#;
     let fresh = object("s", &format!(r#"{{"spec":{spec},"status":null}}"#));
-    let written = ObjectsDialect
+    let written = HttpDialect
         .encode_release_state(ReleaseState::RolledBack, "v2")
         .map(|status| String::from_utf8_lossy(&status).into_owned())
         .expect("it can be written");
     let decided = object("s", &format!(r#"{{"spec":{spec},"status":{written}}}"#));
 
-    let order = ObjectsDialect.decode_release(&fresh).expect("an order");
-    let back = ObjectsDialect.decode_release(&decided).expect("an order");
-    let broken = ObjectsDialect.decode_release(&object("s", r#"{"spec":{"service":"s"}}"#));
+    let order = HttpDialect.decode_release(&fresh).expect("an order");
+    let back = HttpDialect.decode_release(&decided).expect("an order");
+    let broken = HttpDialect.decode_release(&object("s", r#"{"spec":{"service":"s"}}"#));
 
     assert_eq!((order.order.to.as_str(), order.order.lasts), ("v2", TimeSpan(12_500)));
     assert_eq!((order.state(), order.revision), (None, 3));
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn an_entry_tells_stage_market_and_end() {
+fn an_endpoint_entry_decodes_stage_market_and_end() {
     let now = ClockTime(5000);
-    let entry = |body: &str| ObjectsDialect.decode_endpoint(&object("i-1", body), now);
+    let entry = |body: &str| HttpDialect.decode_endpoint(&object("i-1", body), now);
     let ready = r#"{"service":"s","address":"10.0.0.1:80","zone":"kopli","version":"v1","slots":64,"state":"ready","cold-remaining-ms":0,"seq":4}"#;
     let leaving = r#"{"service":"s","address":"10.0.0.1:80","zone":"kopli","slots":64,"state":"draining","spot":true,"leaves_ms":2500.0}"#;
 
@@ -110,7 +110,7 @@
 }"#;
 
 #[test]
-fn settings_as_the_platform_renders_them_are_read_and_faults_are_placed() {
+fn rendered_settings_are_read_and_errors_name_file_line_and_field() {
     let path = Path::new("settings.conf");
     let settings: FrontSettings = parse_settings(path, RENDERED).expect("no faults");
     let fault = parse_settings::<FrontSettings>(
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn nothing_outside_the_adapter_knows_the_platforms_names() {
+fn platform_names_occur_only_in_the_adapter() {
     const NAMES: [&str; 12] = [
         "x-oleandertack-",
         "traffic-split",
@@ -168,56 +168,56 @@
 }
 
 /// What an endpoint says of itself, as the dialect reads it off an answer's head.
-fn heard(head: &[(&'static str, &'static str)]) -> AnswerHead {
+fn parse_head(head: &[(&'static str, &'static str)]) -> AnswerHead {
     let mut response = ResponseHead::new(StatusCode::OK);
     for (name, value) in head {
         let (name, value) = (HeaderName::from_static(name), HeaderValue::from_static(value));
         response.headers_mut().append(name, value);
     }
-    ObjectsDialect.parse_answer(&response)
+    HttpDialect.parse_answer(&response)
 }
 
 /// An endpoint gets more than it takes: its limit is misread, or one word that cannot be read hides it.
 #[test]
-fn the_limit_that_an_endpoint_names_is_read_from_its_answers() {
-    let limit = |value| heard(&[("server-limit", value)]).limit;
+fn the_rate_limit_signal_is_read_from_answers() {
+    let limit = |value| parse_head(&[("server-limit", value)]).limit;
     let rate = |per_s| EndpointSignal::Present(RequestRate::per_second(per_s));
 
-    assert_eq!(heard(&[]).limit, EndpointSignal::Absent);
+    assert_eq!(parse_head(&[]).limit, EndpointSignal::Absent);
     assert_eq!((limit("2.8"), limit(" 50 ")), (rate(2.8), rate(50.0)));
     assert_eq!((limit("0"), limit("0.01")), (rate(0.1), rate(0.1)));
     assert_eq!(limit("99999999999"), rate(1e6));
     for text in ["", "many", "-1", "NaN", "inf", "Wed, 21 Oct 2026 07:28:00 GMT"] {
         assert!(matches!(limit(text), EndpointSignal::Unreadable(_)), "{text}");
     }
-    let twice = heard(&[("server-limit", "3"), ("server-limit", "x"), ("server-limit", "2")]);
+    let twice = parse_head(&[("server-limit", "3"), ("server-limit", "x"), ("server-limit", "2")]);
     assert_eq!(twice.limit, rate(2.0));
 }
 
 /// An endpoint that leaves is taken for one that stays, or the other way: its word is misread, or other words are taken for it.
 #[test]
-fn that_an_endpoint_leaves_is_read_from_its_answers() {
-    let leaving = |value| heard(&[("server-leaving", value)]).leaving;
+fn the_leaving_signal_is_read_from_answers() {
+    let leaving = |value| parse_head(&[("server-leaving", value)]).leaving;
 
     assert_eq!(
         (leaving("1"), leaving("0")),
         (EndpointSignal::Present(true), EndpointSignal::Present(false))
     );
     assert!(matches!(leaving("soon"), EndpointSignal::Unreadable(_)));
-    assert_eq!(heard(&[("connection", "close")]).leaving, EndpointSignal::Absent);
-    let twice = heard(&[("server-leaving", "0"), ("server-leaving", "1")]);
+    assert_eq!(parse_head(&[("connection", "close")]).leaving, EndpointSignal::Absent);
+    let twice = parse_head(&[("server-leaving", "0"), ("server-leaving", "1")]);
     assert_eq!(twice.leaving, EndpointSignal::Present(true));
 }
 
 /// An endpoint gets requests in its rest, or none for ever: the time that it asked for is misread.
 #[test]
-fn the_rest_that_an_endpoint_asks_for_is_read_from_its_refusals() {
+fn the_backoff_signal_is_read_from_refusals() {
     let refusal = |values: &[&'static str]| {
         let mut response = ResponseHead::new(StatusCode::SERVICE_UNAVAILABLE);
         for value in values {
             response.headers_mut().append(RETRY_AFTER, HeaderValue::from_static(value));
         }
-        ObjectsDialect.parse_answer(&response).backoff
+        HttpDialect.parse_answer(&response).backoff
     };
     let backoff = |ms| EndpointSignal::Present(TimeSpan(ms));
 
@@ -231,5 +231,5 @@
         assert!(matches!(refusal(&[text]), EndpointSignal::Unreadable(_)), "{text}");
     }
     assert_eq!(refusal(&[]), EndpointSignal::Absent);
-    assert_eq!(heard(&[("retry-after", "3")]).backoff, EndpointSignal::Absent);
+    assert_eq!(parse_head(&[("retry-after", "3")]).backoff, EndpointSignal::Absent);
 }
--- a/tests/all/front.rs
+++ b/tests/all/front.rs
@@ -11,7 +11,7 @@
 use oleandertack::plat::{
     FeedAnswer, FeedEvent, FeedGuard, FeedKind, FeedObject, FeedPage, FeedStore, FeedWrite, Result,
 };
-use oleandertack::platform::ObjectsDialect;
+use oleandertack::platform::HttpDialect;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -172,7 +172,7 @@
         bounds,
     };
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let process = start_front(settings, log, Box::new(ObjectsDialect), ports, None);
+    let process = start_front(settings, log, Box::new(HttpDialect), ports, None);
     let process = process.await.expect("it listens");
     while !process.node.is_ready() {
         tokio::task::yield_now().await;
--- a/tests/all/lives.rs
+++ b/tests/all/lives.rs
@@ -19,7 +19,7 @@
 use oleandertack::plat::{
     FeedAnswer, FeedEvent, FeedGuard, FeedKind, FeedObject, FeedPage, FeedStore, FeedWrite, Result,
 };
-use oleandertack::platform::{ObjectsDialect, StoreClient};
+use oleandertack::platform::{HttpDialect, StoreClient};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -133,7 +133,7 @@
 
 #[test]
 fn an_incomplete_entry_is_rejected() {
-    let read = |body: &str| ObjectsDialect.decode_endpoint(&object("i-0", body.to_owned()), NOW);
+    let read = |body: &str| HttpDialect.decode_endpoint(&object("i-0", body.to_owned()), NOW);
 
     for body in invalid_entries() {
         assert!(read(&body).is_err(), "{body}");
@@ -154,7 +154,7 @@
         }
         let entry = FeedObject { name: "i-0".into(), revision: 1, body: Bytes::from(body) };
 
-        let _ = ObjectsDialect.decode_endpoint(&entry, NOW);
+        let _ = HttpDialect.decode_endpoint(&entry, NOW);
         Ok(())
     });
 }
--- a/tests/all/plays.rs
+++ b/tests/all/plays.rs
@@ -15,7 +15,7 @@
     DutyAnswer, DutyPermit, DutyPort, FeedAnswer, FeedEvent, FeedGuard, FeedKind, FeedObject,
     FeedPage, FeedStore, FeedWrite, PlatError, Result, ScaleOrder, UsageReport,
 };
-use oleandertack::platform::ObjectsDialect;
+use oleandertack::platform::HttpDialect;
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -374,7 +374,7 @@
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let clock = NodeClock::of_runtime();
         let ports = FrontPorts { store: Box::new(store), cloud: self.cloud.clone(), clock };
-        let process = start_front(settings, log, Box::new(ObjectsDialect), ports, None);
+        let process = start_front(settings, log, Box::new(HttpDialect), ports, None);
         (process.await.expect("it listens"), way)
     }
 
