--- a/tests/all/adapter.rs
+++ b/tests/all/adapter.rs
@@ -1,4 +1,4 @@
-//! The platform's formats, and the wall around its names.
+//! Tests of the platform's formats, and of the rule that only the adapter knows its names.
 
 use actix_http::header::{HeaderName, HeaderValue, RETRY_AFTER};
 use actix_http::{ResponseHead, StatusCode};
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_config_decodes_to_the_meaning_of_its_fields() {
-    let rules = HttpDialect.decode_rules(&object("main", CONFIG)).expect("a whole config");
+    let rules = HttpDialect.decode_rules(&object("main", CONFIG)).expect("a valid config");
 
     let route = |path| rules.route(rules.route_of("h.example", path).expect("a route"));
     assert_eq!((rules.version(), rules.bounds().idle_timeout), (7, TimeSpan(15_000)));
@@ -38,7 +38,7 @@
     );
     assert_eq!(route("/b/x").repeat, RepeatRule::Resume);
     assert_eq!(route("/b/x").services.len(), 2);
-    // A kind that is not known may not be repeated.
+    // Requests of an unknown route kind must not be repeated.
     assert_eq!((route("/c/x").shape, route("/c/x").repeat), (AnswerShape::Whole, RepeatRule::Once));
     let account = rules.account(rules.account_of("k2").expect("a key"));
     assert_eq!((account.tokens_per_s, account.burst_tokens), (Some(240_610), 240_610));
@@ -54,7 +54,7 @@
     }
 }
 
-/// A roll-out is not carried out, or its operators are told what is not so: names of the platform's are misread.
+/// Guards against misreading the platform's field names, which would leave a roll-out undone or report a wrong state.
 #[test]
 fn a_rollout_order_is_decoded_and_its_state_encoded() {
     let spec = r#"{"service":"s","to":"v2","duration-s":12.5}"#;
@@ -62,7 +62,7 @@
     let written = HttpDialect
         .encode_release_state(ReleaseState::RolledBack, "v2")
         .map(|status| String::from_utf8_lossy(&status).into_owned())
-        .expect("it can be written");
+        .expect("an encoded state");
     let decided = object("s", &format!(r#"{{"spec":{spec},"status":{written}}}"#));
 
     let order = HttpDialect.decode_release(&fresh).expect("an order");
@@ -167,7 +167,7 @@
     }
 }
 
-/// What an endpoint says of itself, as the dialect reads it off an answer's head.
+/// Parses an answer's head with the given headers.
 fn parse_head(head: &[(&'static str, &'static str)]) -> AnswerHead {
     let mut response = ResponseHead::new(StatusCode::OK);
     for (name, value) in head {
@@ -177,7 +177,8 @@
     HttpDialect.parse_answer(&response)
 }
 
-/// An endpoint gets more than it takes: its limit is misread, or one word that cannot be read hides it.
+/// Guards against sending an endpoint more than its rate limit, because the signal is misread or an unreadable
+/// repetition of the header hides it.
 #[test]
 fn the_rate_limit_signal_is_read_from_answers() {
     let limit = |value| parse_head(&[("server-limit", value)]).limit;
@@ -194,7 +195,8 @@
     assert_eq!(twice.limit, rate(2.0));
 }
 
-/// An endpoint that leaves is taken for one that stays, or the other way: its word is misread, or other words are taken for it.
+/// Guards against confusing leaving endpoints with staying ones, because the signal is misread or another header is
+/// taken for it.
 #[test]
 fn the_leaving_signal_is_read_from_answers() {
     let leaving = |value| parse_head(&[("server-leaving", value)]).leaving;
@@ -209,7 +211,7 @@
     assert_eq!(twice.leaving, EndpointSignal::Present(true));
 }
 
-/// An endpoint gets requests in its rest, or none for ever: the time that it asked for is misread.
+/// Guards against sending requests during the backoff of an endpoint, or never again, because the time is misread.
 #[test]
 fn the_backoff_signal_is_read_from_refusals() {
     let refusal = |values: &[&'static str]| {
