--- a/crates/ctl/src/platform.rs
+++ b/crates/ctl/src/platform.rs
@@ -6,7 +6,7 @@
 use oleander_bundle::store::StoreSaid;
 use oleander_bundle::{BundleHead, HEAD_NAME, SignedBundle, SubmitStep, SubmitTask};
 use oleander_kind::{ResultCode, TimeSpan};
-use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionGuard, read_joined};
+use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionCondition, read_parts};
 
 /// The longest wait for one call.
 const CALL_LIMIT: TimeSpan = TimeSpan(5000);
@@ -25,7 +25,7 @@
         return Ok(None);
     };
     let head: BundleHead = serde_json::from_slice(&object.bytes).map_err(torn)?;
-    let Some(bytes) = read_joined(store, head.part_names()).await? else {
+    let Some(bytes) = read_parts(store, head.part_names()).await? else {
         return Err(torn("a part is missing"));
     };
     Ok(Some(SignedBundle::parse(&bytes)?))
@@ -53,11 +53,11 @@
                 return Err(CtlError::Coded(code, "the bundle is not accepted".to_owned()));
             }
             SubmitStep::PutPart { name, bytes } => {
-                said_of(store.write(&name, VersionGuard::Absent, Bytes::from(bytes)).await)
+                said_of(store.write(&name, VersionCondition::Absent, Bytes::from(bytes)).await)
             }
             SubmitStep::SwapHead { version, head } => {
                 let bytes = Bytes::from(serde_json::to_vec(&head).unwrap_or_default());
-                said_of(store.write(HEAD_NAME, VersionGuard::of(version), bytes).await)
+                said_of(store.write(HEAD_NAME, VersionCondition::of(version), bytes).await)
             }
             SubmitStep::ReadHead => read_head(store).await,
         };
--- a/crates/ctl/src/rolls.rs
+++ b/crates/ctl/src/rolls.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use oleander_fleet::{PlanObject, RollStage, RollState, plan_name};
 use oleander_kind::{ResultCode, ServiceName, VersionName};
-use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionGuard};
+use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionCondition};
 
 /// How often a change is tried while the fleet process writes the same plan.
 const TRIES: usize = 20;
@@ -69,7 +69,7 @@
         };
         edit(&mut plan.roll);
         let bytes = Bytes::from(serde_json::to_vec(&plan).unwrap_or_default());
-        match store.write(&plan_name(service), VersionGuard::of(version), bytes).await {
+        match store.write(&plan_name(service), VersionCondition::of(version), bytes).await {
             Ok(_) => return Ok(format!("{service}: {}\n", describe(&plan.roll))),
             // The edit is the same however often it is made, so both are tried again.
             Err(PlatError::OutcomeUnknown(_)) => {}
--- a/crates/edge/src/claims.rs
+++ b/crates/edge/src/claims.rs
@@ -14,7 +14,7 @@
 };
 use oleander_conf::EntrySettings;
 use oleander_kind::{ClockTime, ResultCode, TimeSpan};
-use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionGuard};
+use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionCondition};
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
@@ -172,7 +172,7 @@
     ) {
         let store = self.store.clone();
         let writing = async move {
-            match store.write(&object, VersionGuard::of(version), Bytes::from(bytes)).await {
+            match store.write(&object, VersionCondition::of(version), Bytes::from(bytes)).await {
                 Ok(version) => ClaimSaid::Written(version),
                 Err(PlatError::OutcomeUnknown(_)) => ClaimSaid::Unknown,
                 Err(fault) if fault.code() == ResultCode::StoreConflict => ClaimSaid::Changed,
--- a/crates/edge/src/spread.rs
+++ b/crates/edge/src/spread.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use oleander_bundle::{ApplyVerdict, BundleHead, HEAD_NAME, SignedBundle};
 use oleander_kind::TimeSpan;
-use oleander_plat::{ObjectStore, WatchAnswer, read_joined};
+use oleander_plat::{ObjectStore, WatchAnswer, read_parts};
 use oleander_wire::PeerBody;
 use std::rc::Rc;
 
@@ -61,7 +61,7 @@
         note_newest(node);
         return true;
     }
-    let Ok(Some(bytes)) = read_joined(&node.store, head.part_names()).await else { return false };
+    let Ok(Some(bytes)) = read_parts(&node.store, head.part_names()).await else { return false };
     offer(node, &bytes);
     true
 }
--- a/crates/fleetd/src/keep.rs
+++ b/crates/fleetd/src/keep.rs
@@ -4,7 +4,7 @@
 use oleander_fleet::{PlanObject, plan_name};
 use oleander_kind::{ClockTime, ResultCode, ServiceName};
 use oleander_lease::{LeaseAction, LeaseKeeper, LeaseRecord, LeaseSaid};
-use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionGuard};
+use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionCondition};
 
 /// Carries out one action of a lease keeper and tells it what the store said. `read_now` is asked
 /// for the time after the call.
@@ -22,7 +22,7 @@
         },
         LeaseAction::Write { version, record } => {
             let bytes = Bytes::from(serde_json::to_vec(&record).unwrap_or_default());
-            match store.write(name, VersionGuard::of(version), bytes).await {
+            match store.write(name, VersionCondition::of(version), bytes).await {
                 Ok(version) => LeaseSaid::Written(version),
                 Err(PlatError::OutcomeUnknown(_)) => LeaseSaid::Unknown,
                 Err(fault) if fault.code() == ResultCode::StoreConflict => LeaseSaid::Changed,
@@ -78,5 +78,5 @@
     kept: &KeptPlan,
 ) -> oleander_plat::Result<u64> {
     let bytes = Bytes::from(serde_json::to_vec(&kept.plan).unwrap_or_default());
-    store.write(&plan_name(service), VersionGuard::of(kept.version), bytes).await
+    store.write(&plan_name(service), VersionCondition::of(kept.version), bytes).await
 }
--- a/crates/fleetd/src/round.rs
+++ b/crates/fleetd/src/round.rs
@@ -16,7 +16,7 @@
 use oleander_lease::{LeaseKeeper, lease_name};
 use oleander_plat::{
     CloudClient, EndpointList, EndpointOrder, HttpList, HttpStore, ObjectStore, OrderClient,
-    OrderKind, PlatError, StartOrder, read_joined,
+    OrderKind, PlatError, StartOrder, read_parts,
 };
 use oleander_serve::{HttpSite, local_data, serve_app};
 use std::cell::{Cell, RefCell};
@@ -165,7 +165,7 @@
         if head.generation <= self.generation() {
             return;
         }
-        if let Ok(Some(bytes)) = read_joined(&self.store, head.part_names()).await {
+        if let Ok(Some(bytes)) = read_parts(&self.store, head.part_names()).await {
             self.offer(&bytes);
         }
     }
--- a/crates/front/src/discover.rs
+++ b/crates/front/src/discover.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use oleander_kind::{InstanceId, TimeSpan};
 use oleander_mesh::MemberInfo;
-use oleander_plat::{FeedGuard, FeedKind, FeedWrite, PlatError};
+use oleander_plat::{FeedCondition, FeedKind, PlatError, WriteOutcome};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -50,12 +50,12 @@
     let unwritable = |fault: serde_json::Error| PlatError::NotSent(fault.to_string());
     let body = Bytes::from(serde_json::to_vec(&member).map_err(unwritable)?);
     let name = node.settings.instance.as_str();
-    let mut guard = FeedGuard::Absent;
+    let mut guard = FeedCondition::Absent;
     loop {
         guard = match node.store.write(FeedKind::Members, name, guard, body.clone()).await? {
-            FeedWrite::Made(_) => return Ok(()),
-            FeedWrite::Refused(Some(known)) => FeedGuard::Is(known.revision),
-            FeedWrite::Refused(None) => FeedGuard::Absent,
+            WriteOutcome::Made(_) => return Ok(()),
+            WriteOutcome::Refused(Some(known)) => FeedCondition::Is(known.revision),
+            WriteOutcome::Refused(None) => FeedCondition::Absent,
         };
     }
 }
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -12,7 +12,7 @@
 use oleander_lease::{LeaseAction, LeaseKeeper, LeaseRecord, LeaseSaid};
 use oleander_mesh::{LeaseNotice, MeshCollector};
 use oleander_plat::{
-    DutyPermit, DutyPort, DutyStamp, FeedGuard, FeedKind, FeedObject, FeedWrite, PlatError,
+    DutyPermit, DutyPort, DutyStamp, FeedCondition, FeedKind, FeedObject, PlatError, WriteOutcome,
 };
 use orders::scale_services;
 use serde::Serialize;
@@ -179,15 +179,15 @@
 
 fn note_call_failure(node: &FrontNode, fault: &PlatError) -> LeaseSaid {
     event!(node, LeaseFault; "fault" => fault.to_string());
-    if fault.may_have_happened() { LeaseSaid::Unknown } else { LeaseSaid::NotDone }
+    if fault.may_have_taken_effect() { LeaseSaid::Unknown } else { LeaseSaid::NotDone }
 }
 
 async fn write_lease(node: &FrontNode, version: Option<u64>, record: &LeaseRecord) -> LeaseSaid {
     let Some(body) = encode(node, record) else { return LeaseSaid::NotDone };
-    let guard = version.map_or(FeedGuard::Absent, FeedGuard::Is);
+    let guard = version.map_or(FeedCondition::Absent, FeedCondition::Is);
     match node.store.write(FeedKind::Leases, LEASE_NAME, guard, body).await {
-        Ok(FeedWrite::Made(revision)) => LeaseSaid::Written(revision),
-        Ok(FeedWrite::Refused(_)) => {
+        Ok(WriteOutcome::Made(revision)) => LeaseSaid::Written(revision),
+        Ok(WriteOutcome::Refused(_)) => {
             event!(node, LeaseFault; "fault" => "another wrote it meanwhile");
             LeaseSaid::Changed
         }
--- a/crates/front/src/duties/usage.rs
+++ b/crates/front/src/duties/usage.rs
@@ -6,7 +6,7 @@
 use oleander_duty::usage::window_of;
 use oleander_duty::{UsageDuty, UsageStep};
 use oleander_kind::{AccountName, ClockTime, TimeSpan};
-use oleander_plat::{DutyAnswer, DutyPort, FeedGuard, FeedKind, FeedWrite, UsageReport};
+use oleander_plat::{DutyAnswer, DutyPort, FeedCondition, FeedKind, UsageReport, WriteOutcome};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -127,24 +127,24 @@
     }
     let name = format!("{}", report.window % REPORT_SLOTS);
     let body = encode(node, &report)?;
-    let mut guard = FeedGuard::Absent;
+    let mut guard = FeedCondition::Absent;
     if let Some(revision) = node.report_revisions.borrow().get(&name).copied() {
-        guard = FeedGuard::Is(revision);
+        guard = FeedCondition::Is(revision);
     }
     for _ in 0..3 {
         match node.store.write(FeedKind::UsageReports, &name, guard, body.clone()).await {
-            Ok(FeedWrite::Made(revision)) => {
+            Ok(WriteOutcome::Made(revision)) => {
                 node.report_revisions.borrow_mut().insert(name, revision);
                 return Some(report);
             }
-            Ok(FeedWrite::Refused(Some(object))) => {
+            Ok(WriteOutcome::Refused(Some(object))) => {
                 let known: PersistedReport = serde_json::from_slice(&object.body).ok()?;
                 if known.window >= report.window {
                     return Some(known);
                 }
-                guard = FeedGuard::Is(object.revision);
+                guard = FeedCondition::Is(object.revision);
             }
-            Ok(FeedWrite::Refused(None)) => guard = FeedGuard::Absent,
+            Ok(WriteOutcome::Refused(None)) => guard = FeedCondition::Absent,
             Err(fault) => {
                 event!(node, UsageFault;
                     "window" => report.window, "fault" => fault.to_string());
--- a/crates/front/src/feeds.rs
+++ b/crates/front/src/feeds.rs
@@ -8,7 +8,7 @@
 use crate::rules::take_rules;
 use oleander_kind::{ClockTime, TimeSpan};
 use oleander_list::freshness::latest_answer_time;
-use oleander_plat::{FeedAnswer, FeedEvent, FeedKind, FeedPage, PlatError};
+use oleander_plat::{FeedEvent, FeedKind, FeedPage, PlatError, WatchOutcome};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -92,7 +92,7 @@
                     from = None;
                     None
                 }
-                Some(Ok(FeedAnswer::Changes(events, as_of))) => {
+                Some(Ok(WatchOutcome::Changes(events, as_of))) => {
                     from = Some(as_of);
                     note_feed(node, kind, state, None);
                     let gathers = kind == FeedKind::Endpoints && !events.is_empty();
@@ -103,7 +103,7 @@
                     }
                     None
                 }
-                Some(Ok(FeedAnswer::HistoryLost)) => {
+                Some(Ok(WatchOutcome::HistoryLost)) => {
                     from = None;
                     None
                 }
@@ -143,7 +143,7 @@
     kind: FeedKind,
     from: u64,
     wait: TimeSpan,
-) -> Option<oleander_plat::Result<FeedAnswer>> {
+) -> Option<oleander_plat::Result<WatchOutcome>> {
     tokio::select! {
         biased;
         answer = node.store.watch(kind, from, wait) => Some(answer),
--- a/crates/front/src/kept.rs
+++ b/crates/front/src/kept.rs
@@ -8,7 +8,7 @@
 use crate::node::FrontNode;
 use bytes::Bytes;
 use oleander_kind::TimeSpan;
-use oleander_plat::{FeedGuard, FeedKind, FeedObject, FeedWrite};
+use oleander_plat::{FeedCondition, FeedKind, FeedObject, WriteOutcome};
 use std::rc::Rc;
 use tokio::sync::Notify;
 
@@ -55,7 +55,7 @@
 
 /// Revision and content of the object as last read or written.
 struct CachedObject<M> {
-    guard: FeedGuard,
+    guard: FeedCondition,
     mark: M,
 }
 
@@ -112,7 +112,7 @@
     record: &mut R,
     object: Option<&FeedObject>,
 ) -> CachedObject<R::Mark> {
-    let guard = object.map_or(FeedGuard::Absent, |object| FeedGuard::Is(object.revision));
+    let guard = object.map_or(FeedCondition::Absent, |object| FeedCondition::Is(object.revision));
     CachedObject { guard, mark: record.take(node, object) }
 }
 
@@ -127,11 +127,11 @@
         return Some(known);
     }
     match node.store.write(R::KIND, R::NAME, known.guard, body).await {
-        Ok(FeedWrite::Made(revision)) => {
+        Ok(WriteOutcome::Made(revision)) => {
             record.note_written(node);
-            Some(CachedObject { guard: FeedGuard::Is(revision), mark })
+            Some(CachedObject { guard: FeedCondition::Is(revision), mark })
         }
-        Ok(FeedWrite::Refused(object)) => {
+        Ok(WriteOutcome::Refused(object)) => {
             object.map(|object| cached_object(node, record, Some(&object)))
         }
         Err(fault) => {
--- a/crates/front/src/releases/keep.rs
+++ b/crates/front/src/releases/keep.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 use oleander_kind::{ClockTime, ServiceName, TimeSpan};
 use oleander_mesh::EndpointHash;
-use oleander_plat::{FeedAnswer, FeedEvent, FeedKind, FeedObject, FeedWrite, PlatError};
+use oleander_plat::{FeedEvent, FeedKind, FeedObject, PlatError, WatchOutcome, WriteOutcome};
 use oleander_release::{
     ExposureBounds, OrderEntry, OrderFault, PlanAction, PlanInputs, ReleasePlan, ReleaseStage,
     ReleaseState, exposure_account,
@@ -96,10 +96,10 @@
     let answer = tokio::select! {
         answer = node.store.watch(FeedKind::Releases, revision, WATCH_WAIT) => answer?,
         // A version appeared that may be under an order: the list tells at once.
-        () = node.orders_wanted.notified() => FeedAnswer::HistoryLost,
+        () = node.orders_wanted.notified() => WatchOutcome::HistoryLost,
     };
     match answer {
-        FeedAnswer::Changes(events, as_of) => {
+        WatchOutcome::Changes(events, as_of) => {
             for change in events {
                 match change {
                     FeedEvent::Put(object) => orders.extend([known_order(node, &object)]),
@@ -110,7 +110,7 @@
             }
             *from = Some(as_of);
         }
-        FeedAnswer::HistoryLost => *from = None,
+        WatchOutcome::HistoryLost => *from = None,
     }
     Ok(())
 }
@@ -340,12 +340,12 @@
         return;
     };
     match written {
-        Ok(FeedWrite::Made(revision)) => {
+        Ok(WriteOutcome::Made(revision)) => {
             running.entry.revision = revision;
             running.entry.state = Some((state, to));
             running.plan.note_written(state);
         }
-        Ok(FeedWrite::Refused(Some(object))) => running.entry.revision = object.revision,
-        Ok(FeedWrite::Refused(None)) | Err(_) => {}
+        Ok(WriteOutcome::Refused(Some(object))) => running.entry.revision = object.revision,
+        Ok(WriteOutcome::Refused(None)) | Err(_) => {}
     }
 }
--- a/crates/plat/src/cloud.rs
+++ b/crates/plat/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud API: starts and ends instances, tells prices and notices.
+//! Client of the cloud API, which starts and ends instances and reports prices and reclaim notices.
 
 use crate::http::{new_client, send_error};
 use crate::port::{PlatError, Result};
@@ -11,42 +11,42 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A start that is asked for. The token makes a repeated ask one start.
+/// Request to start an instance. Its token makes a repeated request idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartOrder {
-    /// Client token: the cloud answers a repeat with the first instance.
+    /// Idempotency token: the cloud answers a repeated request with the first instance.
     pub token: CompactString,
-    /// The service it is for.
+    /// Service that the instance will run.
     pub service: ServiceName,
-    /// Engine or plain service.
+    /// Whether it will be an engine or a plain service.
     pub role: EndpointRole,
-    /// The model version to load; empty for plain services.
+    /// Model version to load; empty for plain services.
     pub version: VersionName,
     /// Failure domain.
     pub domain: DomainName,
     /// Machine class.
     pub class: CompactString,
-    /// How it is bought.
+    /// Market on which the instance is bought.
     pub market: InstanceMarket,
 }
 
-/// What the cloud says to a start.
+/// The cloud's answer to a start request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartAnswer {
     /// The instance.
     pub instance: InstanceId,
 }
 
-/// A notice that an instance will be reclaimed.
+/// Notice that the cloud will reclaim an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloudNotice {
     /// The instance.
     pub instance: InstanceId,
-    /// Wall-clock time of its end.
+    /// Wall-clock time at which the instance ends.
     pub ends_at: ClockTime,
 }
 
-/// A price.
+/// Price of a machine class in one failure domain and market.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PriceEntry {
     /// Failure domain.
@@ -55,11 +55,11 @@
     pub class: CompactString,
     /// Market.
     pub market: InstanceMarket,
-    /// Price of an hour, in millionths of the currency.
+    /// Price per hour, in millionths of the currency.
     pub micros_per_hour: u64,
 }
 
-/// The cloud API at one address.
+/// Client of the cloud API at one address.
 #[derive(Clone)]
 pub struct CloudClient {
     client: Client,
@@ -67,15 +67,15 @@
 }
 
 impl CloudClient {
-    /// The cloud at `base`; each call may take `limit`.
-    pub fn new(base: &str, limit: TimeSpan) -> Self {
-        CloudClient { client: new_client(limit), base: base.into() }
+    /// Creates a client of the cloud API at `base` whose calls end after `timeout`.
+    pub fn new(base: &str, timeout: TimeSpan) -> Self {
+        CloudClient { client: new_client(timeout), base: base.into() }
     }
 
-    /// Asks for a start.
+    /// Starts an instance.
     ///
     /// # Errors
-    /// [`PlatError::Refused`] if the cloud has no such instance now.
+    /// [`PlatError::Refused`] if the cloud has no such instance available.
     pub async fn start(&self, order: &StartOrder) -> Result<StartAnswer> {
         let request = self.client.post(format!("{}/instances", self.base));
         let mut response = request.send_json(order).await.map_err(|fault| send_error(&fault))?;
@@ -84,10 +84,10 @@
         answer.map_err(|fault| PlatError::OutcomeUnknown(fault.to_string()))
     }
 
-    /// Asks for the end of `instance`; ending it again does no harm.
+    /// Ends `instance`. The call is idempotent: an unknown instance counts as ended.
     ///
     /// # Errors
-    /// As the port says.
+    /// [`PlatError`] if the call was not sent, was refused, or has an unknown outcome.
     pub async fn end(&self, instance: &InstanceId) -> Result<()> {
         let request = self.client.delete(format!("{}/instances/{instance}", self.base));
         let response = request.send().await.map_err(|fault| send_error(&fault))?;
@@ -97,18 +97,18 @@
         check_status(response.status())
     }
 
-    /// The notices that stand now.
+    /// Returns the pending reclaim notices.
     ///
     /// # Errors
-    /// As the port says.
+    /// [`PlatError`] if the call was not sent, was refused, or has an unknown outcome.
     pub async fn notices(&self) -> Result<Vec<CloudNotice>> {
         self.get_json("notices").await
     }
 
-    /// The prices of now.
+    /// Returns the current prices.
     ///
     /// # Errors
-    /// As the port says.
+    /// [`PlatError`] if the call was not sent, was refused, or has an unknown outcome.
     pub async fn prices(&self) -> Result<Vec<PriceEntry>> {
         self.get_json("prices").await
     }
--- a/crates/plat/src/duty.rs
+++ b/crates/plat/src/duty.rs
@@ -1,4 +1,5 @@
-//! Control work at the platform's cloud: usage reports and orders for endpoints.
+//! Interface to the cloud for control duties, which only the holder of a lease performs: usage reports and scaling
+//! orders.
 
 use crate::port::Result;
 use futures_util::future::LocalBoxFuture;
@@ -6,59 +7,62 @@
 use oleander_kind::{AccountName, DomainName, InstanceId, ServiceName};
 use std::collections::BTreeMap;
 
-/// Who calls, and by which right.
+/// Lease holder and fencing token that a control call carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyStamp {
-    /// The holder of the lease.
+    /// Holder of the lease.
     pub holder: InstanceId,
-    /// Its fencing token.
+    /// Fencing token of the lease.
     pub fence: u64,
 }
 
-/// The right to make one call, looked up as the call leaves.
+/// Permission to make one control call, checked at the moment the call is sent.
 ///
-/// A holder that looks at its lease, waits for a connection or for another call, and then sends by
-/// that look may have stood still for seconds in between: another process holds the lease by then and
-/// has acted, and a platform that does not check fencing tokens takes both. So a port is never given a
-/// stamp; it asks for one once nothing is left to wait for.
+/// A process that checks its lease and then waits for a connection or another call may be paused for
+/// seconds in between. Another process may have acquired the lease and acted meanwhile, and a platform
+/// that does not check fencing tokens accepts both calls. A [`DutyPort`] is therefore never given a
+/// stamp in advance; it asks for one when nothing is left to wait for.
 pub trait DutyPermit {
-    /// The stamp of a call that leaves at once; none if the lease is not held now.
+    /// Returns the stamp for a call that is sent immediately, or none if the lease is not held.
     fn stamp(&self) -> Option<DutyStamp>;
 }
 
-/// What the platform said.
+/// The platform's answer to a control call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DutyAnswer {
-    /// Taken.
+    /// The call was accepted.
     Done,
-    /// Refused: a higher fencing token was seen, or there is nothing to give; with its words.
+    /// The call was refused, because a higher fencing token was seen or no capacity is available. Holds the answer's
+    /// text.
     Refused(String),
 }
 
-/// The usage of one window.
+/// Usage of all accounts in one window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
-    /// The window's number.
+    /// Number of the window.
     pub window: u64,
-    /// Requests that began to run, by account.
+    /// Number of requests that started executing, by account.
     pub counts: BTreeMap<AccountName, u64>,
 }
 
-/// How many endpoints to have.
+/// Number of endpoints wanted for a service in one failure domain and market.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScaleOrder {
-    /// The service.
+    /// Service.
     pub service: ServiceName,
-    /// Where.
+    /// Failure domain.
     pub domain: DomainName,
-    /// How bought.
+    /// Market on which the instances are bought.
     pub market: InstanceMarket,
-    /// How many.
+    /// Wanted number of endpoints.
     pub count: u32,
 }
 
-/// The cloud. Every call is bounded in time by its implementation, and takes its stamp from the permit
-/// after the last wait before its first byte leaves; without a stamp nothing is sent.
+/// Control calls to the cloud.
+///
+/// Implementations apply a timeout to every call and take the stamp from the permit after the last wait
+/// before the first byte is sent. Without a stamp nothing is sent.
 pub trait DutyPort {
     /// Sends a usage report.
     fn report_usage<'a>(
@@ -67,7 +71,7 @@
         report: &'a UsageReport,
     ) -> LocalBoxFuture<'a, Result<DutyAnswer>>;
 
-    /// Orders endpoints.
+    /// Sets the wanted number of endpoints.
     fn order_endpoints<'a>(
         &'a self,
         permit: &'a dyn DutyPermit,
--- a/crates/plat/src/feed.rs
+++ b/crates/plat/src/feed.rs
@@ -1,4 +1,4 @@
-//! The store as a feed: objects by kind, with lists, watches and conditional writes.
+//! Interface to the platform's store: objects by kind, with lists, watches and conditional writes.
 
 use crate::port::Result;
 use bytes::Bytes;
@@ -7,29 +7,29 @@
 use oleander_kind::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// The kinds of object that the system reads or writes.
+/// Kind of an object that the system reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FeedKind {
-    /// The operators' rules; read only.
+    /// The operators' configuration; read only.
     Rules,
-    /// The endpoints; read only.
+    /// Endpoint entries; read only.
     Endpoints,
-    /// The processes of the system.
+    /// Processes of the system.
     Members,
-    /// Leases of control work.
+    /// Leases for control duties.
     Leases,
-    /// Usage reports, as they were fixed before they were sent.
+    /// Usage reports, whose content is fixed in the store before they are sent.
     UsageReports,
-    /// Requests under which endpoints ended.
+    /// Records of requests under which endpoints crashed.
     Suspects,
-    /// What was let in of the accounts lately.
+    /// Recent admissions of client accounts.
     Windows,
-    /// Orders of roll-outs. Their bodies hold what was ordered and what was written of it.
+    /// Roll-out orders. Their bodies hold the order and the status written to it.
     Releases,
 }
 
 impl FeedKind {
-    /// The name, for logs and metrics.
+    /// Returns the name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             FeedKind::Rules => "rules",
@@ -44,93 +44,93 @@
     }
 }
 
-/// One object.
+/// An object of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedObject {
-    /// Its name, unique within its kind; empty if what the platform showed cannot be read as an object.
+    /// Name, unique within the kind; empty if the platform's text cannot be read as an object.
     pub name: CompactString,
-    /// The revision of its last change.
+    /// Revision of the last change.
     pub revision: u64,
-    /// What it says, encoded as the platform encodes it.
+    /// Content in the platform's encoding.
     pub body: Bytes,
 }
 
-/// All objects of a kind at one revision.
+/// Snapshot of all objects of a kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedPage {
     /// The objects.
     pub objects: Vec<FeedObject>,
-    /// The store's revision; watches go on from here.
+    /// Revision of the store from which a watch continues.
     pub as_of: u64,
 }
 
-/// One change.
+/// A change of one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedEvent {
     /// An object was created or changed.
     Put(FeedObject),
     /// An object was removed.
     Gone {
-        /// Its name.
+        /// Name of the object.
         name: CompactString,
-        /// The revision that it had, or that of its removal; what was written after it stays.
+        /// Revision of the removed object or of the removal. An object written after it stays.
         revision: u64,
     },
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FeedAnswer {
-    /// Changes, oldest first, and the revision to go on from.
+pub enum WatchOutcome {
+    /// Changes, oldest first, and the revision from which to continue.
     Changes(Vec<FeedEvent>, u64),
-    /// The history asked for is gone; only a new list helps.
+    /// The store no longer has the requested history; the objects must be listed again.
     HistoryLost,
 }
 
-/// The condition of a write.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FeedGuard {
-    /// Only if there is no such object.
+pub enum FeedCondition {
+    /// The object does not exist.
     Absent,
-    /// Only if the object still has this revision.
+    /// The object has this revision.
     Is(u64),
 }
 
-/// How a conditional write ended.
+/// Result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FeedWrite {
-    /// It was made; the object's new revision.
+pub enum WriteOutcome {
+    /// The write was made; holds the object's new revision.
     Made(u64),
-    /// The condition did not hold; the object as it is, if there is one.
+    /// The condition did not hold; holds the current object, if there is one.
     Refused(Option<FeedObject>),
 }
 
-/// The store. Every call is bounded in time by its implementation.
+/// The platform's store. Implementations apply a timeout to every call.
 pub trait FeedStore {
-    /// All objects of `kind`.
+    /// Lists all objects of `kind`.
     fn list(&self, kind: FeedKind) -> LocalBoxFuture<'_, Result<FeedPage>>;
 
-    /// Changes of `kind` after revision `from`; waits up to `wait` for the first.
+    /// Returns changes of `kind` after revision `from`, waiting up to `wait` for the first.
     fn watch(
         &self,
         kind: FeedKind,
         from: u64,
         wait: TimeSpan,
-    ) -> LocalBoxFuture<'_, Result<FeedAnswer>>;
+    ) -> LocalBoxFuture<'_, Result<WatchOutcome>>;
 
-    /// Writes what the system says of an operators' object, if it still has this revision. A store that has no such
-    /// objects refuses.
+    /// Writes the status of an operators' object if the object still has this revision. The default, for stores
+    /// without such objects, refuses.
     fn write_status<'a>(
         &'a self,
         _kind: FeedKind,
         _name: &'a str,
         _revision: u64,
         _status: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
-        Box::pin(std::future::ready(Ok(FeedWrite::Refused(None))))
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>> {
+        Box::pin(std::future::ready(Ok(WriteOutcome::Refused(None))))
     }
 
-    /// One object.
+    /// Reads one object; `None` if it does not exist.
     fn read<'a>(
         &'a self,
         kind: FeedKind,
@@ -142,11 +142,11 @@
         &'a self,
         kind: FeedKind,
         name: &'a str,
-        guard: FeedGuard,
+        guard: FeedCondition,
         body: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>>;
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>>;
 
-    /// Gives up kept connections, so that the next call makes a new one: they can fall silent for good.
+    /// Closes pooled connections, which can stall permanently, so that the next call opens a new one.
     fn reset_connections(&self) {}
 
     /// Removes an object.
--- a/crates/plat/src/http.rs
+++ b/crates/plat/src/http.rs
@@ -1,11 +1,11 @@
-//! The ports over HTTP, as the platform publishes them.
+//! Clients of the platform's object API and endpoint list over HTTP.
 //!
 //! `GET /objects/NAME` answers 200 with an `ETag`, or 404; with `?watch=V&wait_ms=W` it waits for a
 //! version above V and answers 304 if none came. `PUT` takes `If-Match` or `If-None-Match: *` and
 //! answers 200, 412, 413 or 429. `DELETE` takes `If-Match`.
 
 use crate::port::{
-    EndpointList, ObjectStore, PlatError, Result, StoredObject, VersionGuard, WatchAnswer,
+    EndpointList, ObjectStore, PlatError, Result, StoredObject, VersionCondition, WatchAnswer,
 };
 use awc::error::{ConnectError, SendRequestError};
 use awc::http::StatusCode;
@@ -15,24 +15,24 @@
 use compact_str::CompactString;
 use oleander_kind::{EndpointRecord, ResultCode, TimeSpan};
 
-/// The longest value that is read, in bytes.
-const VALUE_LIMIT: usize = 2 << 20;
-/// The longest list that is read, in bytes.
-const LIST_LIMIT: usize = 8 << 20;
+/// Maximum length of an object that is read, in bytes.
+const MAX_VALUE_BYTES: usize = 2 << 20;
+/// Maximum length of an endpoint list that is read, in bytes.
+const MAX_LIST_BYTES: usize = 8 << 20;
 
-/// The object API at one address.
+/// Client of the object API at one address.
 #[derive(Clone)]
 pub struct HttpStore {
     client: Client,
     base: CompactString,
-    limit: TimeSpan,
+    timeout: TimeSpan,
 }
 
-/// Whether a failed send is sure to have let no byte out.
+/// Returns whether a failed send certainly wrote no byte of the request.
 ///
-/// The library also calls it a failed connect when the other side closes a connection before it
-/// answers (`Disconnected`). By then the request was written, and may have run: taken for "never
-/// sent", a batch code was issued three times.
+/// The HTTP library also reports `Disconnected` as a connect error when the peer closes a connection
+/// before it answers. The request has been written by then and may have been executed: treating it as
+/// never sent issued a batch code three times.
 pub fn never_sent(fault: &SendRequestError) -> bool {
     match fault {
         SendRequestError::Url(_) => true,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Tells what is known after a send failed.
+/// Classifies a failed send by whether the request may have taken effect.
 pub fn send_error(fault: &SendRequestError) -> PlatError {
     if never_sent(fault) {
         return PlatError::NotSent(fault.to_string());
@@ -49,15 +49,18 @@
     PlatError::OutcomeUnknown(fault.to_string())
 }
 
-/// A client with connection reuse and `limit` as its time limit.
-pub fn new_client(limit: TimeSpan) -> Client {
-    Client::builder().timeout(limit.duration()).disable_redirects().finish()
+/// Creates an HTTP client with connection reuse, without redirects, whose calls end after `timeout`.
+pub fn new_client(timeout: TimeSpan) -> Client {
+    Client::builder().timeout(timeout.duration()).disable_redirects().finish()
 }
 
 fn version_of<S>(response: &ClientResponse<S>) -> Result<u64> {
     let tag = response.headers().get(ETAG).and_then(|value| value.to_str().ok());
-    tag.and_then(|text| text.trim_matches('"').parse().ok())
-        .ok_or_else(|| PlatError::OutcomeUnknown("the answer carries no version".to_owned()))
+    tag.and_then(|text| text.trim_matches('"').parse().ok()).ok_or_else(|| {
+        PlatError::OutcomeUnknown(
+            "the answer has no readable ETag with the object's version".to_owned(),
+        )
+    })
 }
 
 fn status_error(status: StatusCode) -> PlatError {
@@ -76,9 +79,9 @@
 }
 
 impl HttpStore {
-    /// The object API at `base` (`http://ip:port`); each call may take `limit`.
-    pub fn new(base: &str, limit: TimeSpan) -> Self {
-        HttpStore { client: new_client(limit), base: base.into(), limit }
+    /// Creates a client of the object API at `base` (`http://ip:port`) whose calls end after `timeout`.
+    pub fn new(base: &str, timeout: TimeSpan) -> Self {
+        HttpStore { client: new_client(timeout), base: base.into(), timeout }
     }
 
     fn url(&self, name: &str) -> String {
@@ -93,7 +96,7 @@
         match response.status() {
             StatusCode::OK => {
                 let version = version_of(&response)?;
-                let body = response.body().limit(VALUE_LIMIT).await;
+                let body = response.body().limit(MAX_VALUE_BYTES).await;
                 let bytes = body.map_err(|fault| PlatError::OutcomeUnknown(fault.to_string()))?;
                 Ok(Some(StoredObject { version, bytes }))
             }
@@ -102,11 +105,11 @@
         }
     }
 
-    async fn write(&self, name: &str, guard: VersionGuard, bytes: Bytes) -> Result<u64> {
+    async fn write(&self, name: &str, guard: VersionCondition, bytes: Bytes) -> Result<u64> {
         let request = self.client.put(self.url(name));
         let request = match guard {
-            VersionGuard::Absent => request.insert_header((IF_NONE_MATCH, "*")),
-            VersionGuard::Is(version) => {
+            VersionCondition::Absent => request.insert_header((IF_NONE_MATCH, "*")),
+            VersionCondition::Is(version) => {
                 request.insert_header((IF_MATCH, format!("\"{version}\"")))
             }
         };
@@ -129,12 +132,12 @@
 
     async fn watch(&self, name: &str, seen: u64, wait_ms: u64) -> Result<WatchAnswer> {
         let url = format!("{}?watch={seen}&wait_ms={wait_ms}", self.url(name));
-        let request = self.client.get(url).timeout(TimeSpan(self.limit.0 + wait_ms).duration());
+        let request = self.client.get(url).timeout(TimeSpan(self.timeout.0 + wait_ms).duration());
         let mut response = request.send().await.map_err(|fault| send_error(&fault))?;
         match response.status() {
             StatusCode::OK => {
                 let version = version_of(&response)?;
-                let body = response.body().limit(VALUE_LIMIT).await;
+                let body = response.body().limit(MAX_VALUE_BYTES).await;
                 let bytes = body.map_err(|fault| PlatError::OutcomeUnknown(fault.to_string()))?;
                 Ok(WatchAnswer::Newer(StoredObject { version, bytes }))
             }
@@ -144,7 +147,7 @@
     }
 }
 
-/// The endpoint list at one address.
+/// Client of the endpoint list at one address.
 #[derive(Clone)]
 pub struct HttpList {
     client: Client,
@@ -152,9 +155,9 @@
 }
 
 impl HttpList {
-    /// The list at `url`; each call may take `limit`.
-    pub fn new(url: &str, limit: TimeSpan) -> Self {
-        HttpList { client: new_client(limit), url: url.into() }
+    /// Creates a client of the list at `url` whose calls end after `timeout`.
+    pub fn new(url: &str, timeout: TimeSpan) -> Self {
+        HttpList { client: new_client(timeout), url: url.into() }
     }
 }
 
@@ -165,7 +168,7 @@
         if response.status() != StatusCode::OK {
             return Err(status_error(response.status()));
         }
-        let records = response.json().limit(LIST_LIMIT).await;
+        let records = response.json().limit(MAX_LIST_BYTES).await;
         records.map_err(|fault| PlatError::OutcomeUnknown(fault.to_string()))
     }
 }
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform behind narrow ports: an object API, an endpoint list, a cloud and endpoints' orders.
+//! Interfaces to the platform: object store, endpoint list, cloud and orders to endpoints.
 //!
-//! A real platform is one new file beside `http.rs`. Every error tells apart what the decisions
-//! must know: the call never left, it was refused, or its outcome is unknown.
+//! Support for another platform is one new file beside `http.rs`. Errors distinguish the three cases
+//! that callers must handle differently: the call was not sent, it was refused, or its outcome is unknown.
 
 pub mod cloud;
 pub mod duty;
@@ -13,11 +13,11 @@
 pub use cloud::{CloudClient, CloudNotice, PriceEntry, StartAnswer, StartOrder};
 pub use duty::{DutyAnswer, DutyPermit, DutyPort, DutyStamp, ScaleOrder, UsageReport};
 pub use feed::{
-    FeedAnswer, FeedEvent, FeedGuard, FeedKind, FeedObject, FeedPage, FeedStore, FeedWrite,
+    FeedCondition, FeedEvent, FeedKind, FeedObject, FeedPage, FeedStore, WatchOutcome, WriteOutcome,
 };
 pub use http::{HttpList, HttpStore, never_sent};
 pub use order::{EndpointOrder, OrderAnswer, OrderClient, OrderKind};
 pub use port::{
-    EndpointList, ObjectStore, PlatError, Result, StoredObject, VersionGuard, WatchAnswer,
-    read_joined,
+    EndpointList, ObjectStore, PlatError, Result, StoredObject, VersionCondition, WatchAnswer,
+    read_parts,
 };
--- a/crates/plat/src/order.rs
+++ b/crates/plat/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints, with the lease's fencing token.
+//! Client that sends orders to endpoints under the fencing token of a lease.
 
 use crate::http::{new_client, send_error};
 use crate::port::{PlatError, Result};
@@ -7,59 +7,59 @@
 use oleander_kind::{ResultCode, TimeSpan, VersionName};
 use serde::{Deserialize, Serialize};
 
-/// What an endpoint is told to become. Each order names the whole wanted state, so that repeating
-/// it changes nothing.
+/// State that an endpoint is ordered to reach. Each order names the whole state, so that repeating it
+/// is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum OrderKind {
-    /// Have this version and these adapters loaded.
+    /// Load this version and these adapters.
     Load {
-        /// The version.
+        /// Model version.
         version: VersionName,
-        /// Its weights in the weight store.
+        /// Name of its weights in the weight store.
         weights: CompactString,
-        /// Its adapters.
+        /// Adapters to load with it.
         adapters: Vec<CompactString>,
     },
-    /// Take nothing new.
+    /// Accept no new requests.
     Drain,
 }
 
-/// An order with its fence.
+/// Order to an endpoint with the fencing token that authorizes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointOrder {
-    /// The fencing token of the lease it was given under.
+    /// Fencing token of the lease under which the order is sent.
     pub fence: u64,
-    /// The order.
+    /// Wanted state.
     #[serde(flatten)]
     pub kind: OrderKind,
 }
 
-/// What the endpoint has after an order.
+/// State of an endpoint after an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// The version that answers requests.
+    /// Version that serves requests.
     pub version: VersionName,
-    /// Whether it is still loading.
+    /// Whether the endpoint is still loading.
     pub loading: bool,
-    /// The highest fence it has seen; 0 if it does not check.
+    /// Highest fencing token that the endpoint has seen; 0 if it does not check them.
     pub fence: u64,
 }
 
-/// Sends orders.
+/// Client that sends orders to endpoints.
 #[derive(Clone)]
 pub struct OrderClient {
     client: Client,
 }
 
 impl OrderClient {
-    /// A client whose calls may take `limit`.
-    pub fn new(limit: TimeSpan) -> Self {
-        OrderClient { client: new_client(limit) }
+    /// Creates a client whose calls end after `timeout`.
+    pub fn new(timeout: TimeSpan) -> Self {
+        OrderClient { client: new_client(timeout) }
     }
 
-    /// Whether the endpoint at `address` says that it has no work. A plain service that reports no
-    /// load counts as idle: it takes nothing new, and its calls are short.
+    /// Returns whether the endpoint at `address` reports that it has no work. A plain service that
+    /// reports no load counts as idle, because it accepts nothing new and its calls are short.
     pub async fn is_idle(&self, address: &str) -> bool {
         #[derive(Deserialize)]
         struct LoadProbe {
@@ -77,12 +77,12 @@
     /// Sends `order` to the endpoint at `address`.
     ///
     /// # Errors
-    /// [`ResultCode::StoreConflict`] if the endpoint has seen a higher fence.
+    /// [`ResultCode::StoreConflict`] if the endpoint has seen a higher fencing token.
     pub async fn send(&self, address: &str, order: &EndpointOrder) -> Result<OrderAnswer> {
         let request = self.client.post(format!("http://{address}/orders"));
         let mut response = request.send_json(order).await.map_err(|fault| send_error(&fault))?;
         if response.status().as_u16() == 409 {
-            let detail = "the endpoint has seen a higher fence".to_owned();
+            let detail = "the endpoint has seen a higher fencing token".to_owned();
             return Err(PlatError::Refused(ResultCode::StoreConflict, detail));
         }
         if !response.status().is_success() {
--- a/crates/plat/src/port.rs
+++ b/crates/plat/src/port.rs
@@ -1,4 +1,4 @@
-//! The ports.
+//! Interfaces to the platform's object API and endpoint list, and the error of all platform calls.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -7,18 +7,18 @@
 use std::future::Future;
 
 quick_error! {
-    /// Why a call to the platform brought no answer.
+    /// Why a call to the platform failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PlatError {
-        /// Nothing left this process; nothing changed.
+        /// The call was not sent, so it had no effect.
         NotSent(detail: String) {
             display("{}: {}", ResultCode::StoreUnsent, detail)
         }
-        /// The platform said no; nothing changed.
+        /// The platform refused the call, so it had no effect.
         Refused(code: ResultCode, detail: String) {
             display("{}: {}", code, detail)
         }
-        /// The call left and no answer came: it may have taken effect.
+        /// The call was sent but no usable answer came back. It may have taken effect.
         OutcomeUnknown(detail: String) {
             display("{}: {}", ResultCode::StoreUnknown, detail)
         }
@@ -26,7 +26,7 @@
 }
 
 impl PlatError {
-    /// The result code.
+    /// Returns the result code of the error.
     pub fn code(&self) -> ResultCode {
         match self {
             PlatError::NotSent(_) => ResultCode::StoreUnsent,
@@ -35,41 +35,41 @@
         }
     }
 
-    /// Whether the call may have taken effect.
-    pub fn may_have_happened(&self) -> bool {
+    /// Returns whether the call may have taken effect in spite of the error.
+    pub fn may_have_taken_effect(&self) -> bool {
         matches!(self, PlatError::OutcomeUnknown(_))
     }
 }
 
-/// The result of a platform call.
+/// Result of a platform call.
 pub type Result<T> = std::result::Result<T, PlatError>;
 
-/// An object as it was read.
+/// Object of the object API, as it was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredObject {
-    /// Its version; rises with each write.
+    /// Version, which rises with each write.
     pub version: u64,
-    /// Its bytes.
+    /// Content.
     pub bytes: Bytes,
 }
 
-/// The condition of a write.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VersionGuard {
-    /// Only if there is no such object.
+pub enum VersionCondition {
+    /// The object does not exist.
     Absent,
-    /// Only if the object still has this version.
+    /// The object has this version.
     Is(u64),
 }
 
-impl VersionGuard {
-    /// The guard that matches what was read.
+impl VersionCondition {
+    /// Returns the condition that the object is still as it was read; none means that it did not exist.
     pub fn of(version: Option<u64>) -> Self {
-        version.map_or(VersionGuard::Absent, VersionGuard::Is)
+        version.map_or(VersionCondition::Absent, VersionCondition::Is)
     }
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchAnswer {
     /// The object has a newer version.
@@ -78,17 +78,17 @@
     Same,
 }
 
-/// The object API: versions, conditional updates, watches.
+/// Object API with versions, conditional writes and watches.
 pub trait ObjectStore {
     /// Reads an object; `None` if there is none.
     fn read(&self, name: &str) -> impl Future<Output = Result<Option<StoredObject>>>;
 
-    /// Writes an object under `guard` and returns its new version. A failed guard is
+    /// Writes an object if `guard` holds and returns its new version. Otherwise the error is
     /// [`ResultCode::StoreConflict`].
     fn write(
         &self,
         name: &str,
-        guard: VersionGuard,
+        guard: VersionCondition,
         bytes: Bytes,
     ) -> impl Future<Output = Result<u64>>;
 
@@ -104,17 +104,17 @@
     ) -> impl Future<Output = Result<WatchAnswer>>;
 }
 
-/// The platform's list of endpoints. It lags: it may show what is gone and miss what is new.
+/// The platform's list of endpoints. It is stale at times: it may show endpoints that are gone and lack new ones.
 pub trait EndpointList {
-    /// The list as the platform shows it now.
+    /// Reads the current list.
     fn list(&self) -> impl Future<Output = Result<Vec<EndpointRecord>>>;
 }
 
-/// Reads the objects `names` and joins them; `None` if one is missing.
+/// Reads the objects `names` and concatenates them; `None` if one is missing.
 ///
 /// # Errors
-/// The first read's error.
-pub async fn read_joined(
+/// The error of the first read that fails.
+pub async fn read_parts(
     store: &impl ObjectStore,
     names: impl Iterator<Item = CompactString>,
 ) -> Result<Option<Vec<u8>>> {
--- a/tests/all/errors.rs
+++ b/tests/all/errors.rs
@@ -97,9 +97,9 @@
     // The head object is overwritten with invalid data. The bundle in force must stay.
     let rig = start().await;
     let store = oleandertack::ctl::platform::open_store(&rig.standin);
-    use oleandertack::plat::{ObjectStore, VersionGuard};
+    use oleandertack::plat::{ObjectStore, VersionCondition};
     let head = store.read("bundle/head").await.expect("a read").expect("a head");
-    let guard = VersionGuard::Is(head.version);
+    let guard = VersionCondition::Is(head.version);
     store.write("bundle/head", guard, "nonsense".into()).await.expect("written");
 
     assert!(is_alive(&rig).await);
--- a/tests/all/front.rs
+++ b/tests/all/front.rs
@@ -9,7 +9,8 @@
 use oleandertack::front::{FrontPorts, FrontProcess, start_front};
 use oleandertack::kind::TimeSpan;
 use oleandertack::plat::{
-    FeedAnswer, FeedEvent, FeedGuard, FeedKind, FeedObject, FeedPage, FeedStore, FeedWrite, Result,
+    FeedCondition, FeedEvent, FeedKind, FeedObject, FeedPage, FeedStore, Result, WatchOutcome,
+    WriteOutcome,
 };
 use oleandertack::platform::HttpDialect;
 use std::cell::Cell;
@@ -41,7 +42,7 @@
         async move { Ok(FeedPage { objects, as_of: 1 }) }.boxed_local()
     }
 
-    fn watch(&self, _: FeedKind, _: u64, _: TimeSpan) -> LocalBoxFuture<'_, Result<FeedAnswer>> {
+    fn watch(&self, _: FeedKind, _: u64, _: TimeSpan) -> LocalBoxFuture<'_, Result<WatchOutcome>> {
         std::future::pending().boxed_local()
     }
 
@@ -57,10 +58,10 @@
         &'a self,
         _: FeedKind,
         _: &'a str,
-        _: FeedGuard,
+        _: FeedCondition,
         _: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
-        async { Ok(FeedWrite::Made(1)) }.boxed_local()
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>> {
+        async { Ok(WriteOutcome::Made(1)) }.boxed_local()
     }
 
     fn remove<'a>(&'a self, _: FeedKind, _: &'a str) -> LocalBoxFuture<'a, Result<()>> {
@@ -84,14 +85,15 @@
         kind: FeedKind,
         from: u64,
         wait: TimeSpan,
-    ) -> LocalBoxFuture<'_, Result<FeedAnswer>> {
+    ) -> LocalBoxFuture<'_, Result<WatchOutcome>> {
         if kind != FeedKind::Endpoints {
             return self.inner.watch(kind, from, wait);
         }
         self.asked.set(self.asked.get() + 1);
         let known = self.inner.objects.iter().find(|(other, _)| *other == kind);
         let event = known.map(|(_, object)| FeedEvent::Put(object.clone()));
-        async move { Ok(FeedAnswer::Changes(event.into_iter().collect(), from + 1)) }.boxed_local()
+        async move { Ok(WatchOutcome::Changes(event.into_iter().collect(), from + 1)) }
+            .boxed_local()
     }
 
     fn read<'a>(
@@ -106,9 +108,9 @@
         &'a self,
         kind: FeedKind,
         name: &'a str,
-        guard: FeedGuard,
+        guard: FeedCondition,
         body: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>> {
         self.inner.write(kind, name, guard, body)
     }
 
--- a/tests/all/holder.rs
+++ b/tests/all/holder.rs
@@ -8,8 +8,8 @@
 use oleandertack::front::FrontPorts;
 use oleandertack::kind::TimeSpan;
 use oleandertack::plat::{
-    DutyAnswer, DutyPermit, DutyPort, FeedAnswer, FeedGuard, FeedKind, FeedObject, FeedPage,
-    FeedStore, FeedWrite, PlatError, Result, ScaleOrder, UsageReport,
+    DutyAnswer, DutyPermit, DutyPort, FeedCondition, FeedKind, FeedObject, FeedPage, FeedStore,
+    PlatError, Result, ScaleOrder, UsageReport, WatchOutcome, WriteOutcome,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -45,7 +45,12 @@
         self.inner.list(kind)
     }
 
-    fn watch(&self, k: FeedKind, from: u64, t: TimeSpan) -> LocalBoxFuture<'_, Result<FeedAnswer>> {
+    fn watch(
+        &self,
+        k: FeedKind,
+        from: u64,
+        t: TimeSpan,
+    ) -> LocalBoxFuture<'_, Result<WatchOutcome>> {
         self.inner.watch(k, from, t)
     }
 
@@ -61,9 +66,9 @@
         &'a self,
         kind: FeedKind,
         name: &'a str,
-        guard: FeedGuard,
+        guard: FeedCondition,
         body: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>> {
         if kind == FeedKind::UsageReports {
             self.suspension.suspend_once();
         }
--- a/tests/all/lives.rs
+++ b/tests/all/lives.rs
@@ -17,7 +17,8 @@
 use oleandertack::outlet::HttpCodec;
 use oleandertack::place::{AnswerGrade, EndpointBoard, EndpointEntry, WorkLoad};
 use oleandertack::plat::{
-    FeedAnswer, FeedEvent, FeedGuard, FeedKind, FeedObject, FeedPage, FeedStore, FeedWrite, Result,
+    FeedCondition, FeedEvent, FeedKind, FeedObject, FeedPage, FeedStore, Result, WatchOutcome,
+    WriteOutcome,
 };
 use oleandertack::platform::{HttpDialect, StoreClient};
 use std::cell::RefCell;
@@ -188,7 +189,7 @@
         kind: FeedKind,
         from: u64,
         wait: TimeSpan,
-    ) -> LocalBoxFuture<'_, Result<FeedAnswer>> {
+    ) -> LocalBoxFuture<'_, Result<WatchOutcome>> {
         if kind != FeedKind::Endpoints {
             return self.still.watch(kind, from, wait);
         }
@@ -196,7 +197,10 @@
             while self.pushed.changes.borrow().is_empty() {
                 self.pushed.woken.notified().await;
             }
-            Ok(FeedAnswer::Changes(std::mem::take(&mut self.pushed.changes.borrow_mut()), from + 1))
+            Ok(WatchOutcome::Changes(
+                std::mem::take(&mut self.pushed.changes.borrow_mut()),
+                from + 1,
+            ))
         }
         .boxed_local()
     }
@@ -213,9 +217,9 @@
         &'a self,
         kind: FeedKind,
         name: &'a str,
-        guard: FeedGuard,
+        guard: FeedCondition,
         body: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>> {
         self.still.write(kind, name, guard, body)
     }
 
--- a/tests/all/plays.rs
+++ b/tests/all/plays.rs
@@ -12,8 +12,8 @@
 use oleandertack::front::{FrontPorts, FrontProcess, start_front};
 use oleandertack::kind::{ResultCode, TimeSpan};
 use oleandertack::plat::{
-    DutyAnswer, DutyPermit, DutyPort, FeedAnswer, FeedEvent, FeedGuard, FeedKind, FeedObject,
-    FeedPage, FeedStore, FeedWrite, PlatError, Result, ScaleOrder, UsageReport,
+    DutyAnswer, DutyPermit, DutyPort, FeedCondition, FeedEvent, FeedKind, FeedObject, FeedPage,
+    FeedStore, PlatError, Result, ScaleOrder, UsageReport, WatchOutcome, WriteOutcome,
 };
 use oleandertack::platform::HttpDialect;
 use std::cell::{Cell, RefCell};
@@ -159,11 +159,11 @@
         kind: FeedKind,
         from: u64,
         wait: TimeSpan,
-    ) -> LocalBoxFuture<'_, Result<FeedAnswer>> {
+    ) -> LocalBoxFuture<'_, Result<WatchOutcome>> {
         let answer = move |over: bool| {
             let changes = self.state.changes(kind, from);
             let as_of = self.state.revision.get();
-            (over || !changes.is_empty()).then_some(FeedAnswer::Changes(changes, as_of))
+            (over || !changes.is_empty()).then_some(WatchOutcome::Changes(changes, as_of))
         };
         self.call(wait, answer).boxed_local()
     }
@@ -174,17 +174,17 @@
         name: &'a str,
         revision: u64,
         status: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>> {
         async move {
             self.call(TimeSpan(0), |_| Some(())).await?;
             let known = self.state.page(kind).objects.into_iter().find(|o| o.name == name);
             let Some(known) = known.filter(|known| known.revision == revision) else {
-                return Ok(FeedWrite::Refused(None));
+                return Ok(WriteOutcome::Refused(None));
             };
             let text = String::from_utf8_lossy(&known.body).into_owned();
             let spec = text.split(r#","status":"#).next().unwrap_or_default().to_owned();
             let body = format!(r#"{spec},"status":{}}}"#, String::from_utf8_lossy(&status));
-            Ok(FeedWrite::Made(self.state.put(kind, name, Bytes::from(body))))
+            Ok(WriteOutcome::Made(self.state.put(kind, name, Bytes::from(body))))
         }
         .boxed_local()
     }
@@ -203,20 +203,22 @@
         &'a self,
         kind: FeedKind,
         name: &'a str,
-        guard: FeedGuard,
+        guard: FeedCondition,
         body: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>> {
         async move {
             self.call(TimeSpan(0), |_| Some(())).await?;
             let known = self.state.page(kind).objects.into_iter().find(|o| o.name == name);
             let holds = match guard {
-                FeedGuard::Absent => known.is_none(),
-                FeedGuard::Is(revision) => known.as_ref().is_some_and(|o| o.revision == revision),
+                FeedCondition::Absent => known.is_none(),
+                FeedCondition::Is(revision) => {
+                    known.as_ref().is_some_and(|o| o.revision == revision)
+                }
             };
             if !holds {
-                return Ok(FeedWrite::Refused(known));
+                return Ok(WriteOutcome::Refused(known));
             }
-            Ok(FeedWrite::Made(self.state.put(kind, name, body)))
+            Ok(WriteOutcome::Made(self.state.put(kind, name, body)))
         }
         .boxed_local()
     }
