--- a/crates/conf/src/entry.rs
+++ b/crates/conf/src/entry.rs
@@ -1,40 +1,40 @@
-//! Settings of `oleander-entry`.
+//! Settings of `oleander-entry`, with their defaults and checks.
 
-use crate::reader::{FieldCheck, FieldFault, require};
+use crate::reader::{FieldCheck, FieldError, require};
 use compact_str::CompactString;
 use oleander_kind::{DomainName, InstanceId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A peer that a process may join through.
+/// Peer through which a process may join the cluster.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSetting {
-    /// The peer's instance.
+    /// Instance of the peer.
     pub instance: InstanceId,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Its peer address.
+    /// Address on which it accepts peer connections.
     pub address: SocketAddr,
 }
 
-/// Bounds on what one caller may hold here.
+/// Limits on requests and on the memory that they and their answers take in one process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestBounds {
-    /// The longest body, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub body_bytes: usize,
-    /// The most request bytes held at once, over all requests.
+    /// Maximum number of request bytes held in memory over all requests.
     pub held_bytes: usize,
-    /// The most bytes of kept answers.
+    /// Maximum number of bytes of retained answers.
     pub kept_bytes: usize,
-    /// The longest time a kept answer stays, in seconds.
+    /// Maximum retention of an answer, in seconds.
     pub kept_s: u64,
-    /// The longest time a body may take to arrive, in milliseconds.
+    /// Timeout for receiving a request body, in milliseconds.
     pub body_ms: u64,
-    /// The most bytes of headers that are passed on.
+    /// Maximum number of header bytes that are forwarded.
     pub header_bytes: usize,
-    /// The time a request may take unless the caller asks for less, in seconds.
+    /// Deadline of a request unless the caller sets a shorter one, in seconds.
     pub deadline_s: u64,
 }
 
@@ -52,26 +52,26 @@
     }
 }
 
-/// Periods and waits.
+/// Periods and timeouts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EntryTimes {
-    /// Between two probes of peers, in milliseconds.
+    /// Period of peer probes, in milliseconds.
     pub probe_ms: u64,
-    /// Between two reads of the endpoint list, in milliseconds.
+    /// Period of reads of the endpoint list, in milliseconds.
     pub list_ms: u64,
-    /// How long one watch waits at the object API, in milliseconds.
+    /// Time that one watch waits at the object API, in milliseconds.
     pub watch_ms: u64,
-    /// How long a claim waits for others to share its write, in milliseconds, besides the wait
-    /// that the store's rate asks for.
+    /// Time that a claim waits for others to be written in the same batch, in milliseconds. It adds
+    /// to the wait that the store's write rate imposes.
     pub claim_linger_ms: u64,
-    /// Claim writes a second that all processes together may make.
+    /// Maximum number of claim writes a second over all processes.
     pub claim_writes_per_s: u64,
-    /// How long a planned stop lets requests finish before it moves them, in milliseconds.
+    /// Time that a planned stop gives requests to finish before it moves them, in milliseconds.
     pub drain_ms: u64,
-    /// How long readiness is withdrawn before the listener closes, in milliseconds.
+    /// Time between withdrawing readiness and closing the listener, in milliseconds.
     pub unready_ms: u64,
-    /// The longest wait for one call to the platform, in milliseconds.
+    /// Timeout of one call to the platform, in milliseconds.
     pub platform_ms: u64,
 }
 
@@ -94,60 +94,60 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// This instance's name.
+    /// Name of this instance.
     pub instance: InstanceId,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Where callers are served.
+    /// Address on which callers are served.
     pub listen: SocketAddr,
-    /// Where state, metrics, health and readiness are served.
+    /// Address on which state, metrics, health and readiness are served.
     pub admin: SocketAddr,
-    /// Where peers connect.
+    /// Address on which peers connect.
     pub peer: SocketAddr,
     /// The platform's object API, `http://ip:port`.
     pub platform: CompactString,
     /// The platform's endpoint list, `http://ip:port/path`.
     pub list: CompactString,
-    /// The operator keys (ed25519, hex) that a first bundle is trusted by.
+    /// Operator keys (ed25519, hex) that are trusted to sign the first bundle.
     pub root_keys: Vec<CompactString>,
-    /// How many root keys must sign the first bundle.
-    #[serde(default = "one")]
+    /// Number of root keys that must sign the first bundle.
+    #[serde(default = "default_root_quorum")]
     pub root_quorum: usize,
-    /// Peers to join through.
+    /// Peers through which to join the cluster.
     #[serde(default)]
     pub peers: Vec<PeerSetting>,
-    /// Bounds on requests.
+    /// Limits on requests.
     #[serde(default)]
     pub bounds: RequestBounds,
-    /// Periods and waits.
+    /// Periods and timeouts.
     #[serde(default)]
     pub times: EntryTimes,
-    /// How many claim shards there are; the same for every process.
-    #[serde(default = "four")]
+    /// Number of claim shards, which must be the same for every process.
+    #[serde(default = "default_claim_shards")]
     pub claim_shards: u32,
 }
 
-fn one() -> usize {
+fn default_root_quorum() -> usize {
     1
 }
 
-fn four() -> u32 {
+fn default_claim_shards() -> u32 {
     4
 }
 
 const KEY_HEX_LENGTH: usize = 64;
-const MOST_CLAIM_SHARDS: u32 = 256;
-const SMALLEST_BODY_LIMIT: usize = 1024;
-const LONGEST_LINGER_MS: u64 = 100;
+const MAX_CLAIM_SHARDS: u32 = 256;
+const MIN_BODY_BYTES: usize = 1024;
+const MAX_CLAIM_LINGER_MS: u64 = 100;
 
-/// Checks the operator keys that processes and tools are given.
+/// Checks the operator keys in the settings of processes and tools.
 ///
 /// # Errors
 /// The field and the rule it breaks.
 pub fn check_root_keys(
     keys: &[CompactString],
     quorum: usize,
-) -> std::result::Result<(), FieldFault> {
+) -> std::result::Result<(), FieldError> {
     let hex_key = |key: &CompactString| {
         key.len() == KEY_HEX_LENGTH && key.bytes().all(|byte| byte.is_ascii_hexdigit())
     };
@@ -161,19 +161,19 @@
 }
 
 impl FieldCheck for EntrySettings {
-    fn check(&self) -> std::result::Result<(), FieldFault> {
+    fn check(&self) -> std::result::Result<(), FieldError> {
         require(!self.instance.as_str().is_empty(), "instance", "is empty")?;
         require(!self.domain.as_str().is_empty(), "domain", "is empty")?;
         require(self.platform.starts_with("http://"), "platform", "must start with http://")?;
         require(self.list.starts_with("http://"), "list", "must start with http://")?;
         check_root_keys(&self.root_keys, self.root_quorum)?;
         require(
-            (1..=MOST_CLAIM_SHARDS).contains(&self.claim_shards),
+            (1..=MAX_CLAIM_SHARDS).contains(&self.claim_shards),
             "claim_shards",
             "must be from 1 to 256",
         )?;
         let bounds = &self.bounds;
-        require(bounds.body_bytes >= SMALLEST_BODY_LIMIT, "body_bytes", "must be 1024 or more")?;
+        require(bounds.body_bytes >= MIN_BODY_BYTES, "body_bytes", "must be 1024 or more")?;
         require(
             bounds.held_bytes >= bounds.body_bytes,
             "held_bytes",
@@ -183,7 +183,7 @@
         require(times.probe_ms > 0, "probe_ms", "must be above 0")?;
         require(times.list_ms > 0, "list_ms", "must be above 0")?;
         require(
-            times.claim_linger_ms <= LONGEST_LINGER_MS,
+            times.claim_linger_ms <= MAX_CLAIM_LINGER_MS,
             "claim_linger_ms",
             "must be 100 or less; every non-idempotent request waits for it",
         )?;
--- a/crates/conf/src/fleet.rs
+++ b/crates/conf/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Settings of `oleander-fleet`.
+//! Settings of `oleander-fleet`, with their defaults and checks.
 
 use crate::entry::check_root_keys;
-use crate::reader::{FieldCheck, FieldFault, require};
+use crate::reader::{FieldCheck, FieldError, require};
 use compact_str::CompactString;
 use oleander_kind::{DomainName, InstanceId};
 use serde::Deserialize;
@@ -11,11 +11,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
-    /// This instance's name.
+    /// Name of this instance.
     pub instance: InstanceId,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Where state, metrics, health and readiness are served.
+    /// Address on which state, metrics, health and readiness are served.
     pub admin: SocketAddr,
     /// The platform's object API, `http://ip:port`.
     pub platform: CompactString,
@@ -23,44 +23,45 @@
     pub list: CompactString,
     /// The cloud API, `http://ip:port`.
     pub cloud: CompactString,
-    /// The operator keys (ed25519, hex) that a first bundle is trusted by.
+    /// Operator keys (ed25519, hex) that are trusted to sign the first bundle.
     pub root_keys: Vec<CompactString>,
-    /// How many root keys must sign the first bundle.
-    #[serde(default = "one")]
+    /// Number of root keys that must sign the first bundle.
+    #[serde(default = "default_root_quorum")]
     pub root_quorum: usize,
-    /// The admin address of the entry beside it, `ip:port`: it gives the bundle, and says for which
-    /// services to stand by. Without it the process asks the store for both, and stands by for all.
+    /// Admin address (`ip:port`) of the entry process next to this one. It provides the bundle and
+    /// names the services to stand by for. Without it the process reads both from the store and stands
+    /// by for all services.
     #[serde(default)]
     pub entry: Option<SocketAddr>,
-    /// How long a lease lasts, in milliseconds.
-    #[serde(default = "lease_default")]
+    /// Lifetime of a lease, in milliseconds.
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// Between two rounds of planning, in milliseconds.
-    #[serde(default = "round_default")]
+    /// Period of planning rounds, in milliseconds.
+    #[serde(default = "default_round_ms")]
     pub round_ms: u64,
-    /// The longest wait for one call, in milliseconds.
-    #[serde(default = "call_default")]
+    /// Timeout of one call, in milliseconds.
+    #[serde(default = "default_call_ms")]
     pub call_ms: u64,
 }
 
-fn one() -> usize {
+fn default_root_quorum() -> usize {
     1
 }
 
-fn lease_default() -> u64 {
+fn default_lease_ms() -> u64 {
     6000
 }
 
-fn round_default() -> u64 {
+fn default_round_ms() -> u64 {
     500
 }
 
-fn call_default() -> u64 {
+fn default_call_ms() -> u64 {
     1000
 }
 
 impl FieldCheck for FleetSettings {
-    fn check(&self) -> std::result::Result<(), FieldFault> {
+    fn check(&self) -> std::result::Result<(), FieldError> {
         require(!self.instance.as_str().is_empty(), "instance", "is empty")?;
         require(self.platform.starts_with("http://"), "platform", "must start with http://")?;
         require(self.list.starts_with("http://"), "list", "must start with http://")?;
--- a/crates/conf/src/front.rs
+++ b/crates/conf/src/front.rs
@@ -1,96 +1,96 @@
-//! Settings of a front process.
+//! Settings of a front process, with their defaults and checks.
 
-use crate::reader::{FieldCheck, FieldFault, require};
+use crate::reader::{FieldCheck, FieldError, require};
 use oleander_kind::{DomainName, InstanceId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A front process: serves callers, and does control work while it holds the lease for it.
+/// Settings of a front process, which serves callers and performs control duties while it holds their lease.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FrontSettings {
-    /// This instance.
+    /// Name of this instance.
     pub instance: InstanceId,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Where callers are served.
+    /// Address on which callers are served.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether the process is ready.
+    /// Address on which the load balancer checks readiness.
     pub ready: SocketAddr,
-    /// Where peers connect.
+    /// Address on which peers connect.
     pub peer: SocketAddr,
-    /// Where operators read state and metrics.
+    /// Address on which operators read state and metrics.
     pub admin: SocketAddr,
-    /// Peers to ask first; any of them may be gone.
+    /// Peers to contact first; any of them may be gone.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// The platform's cloud; none if endpoints are not ordered and usage is not reported.
+    /// Address of the platform's cloud; none if endpoints are not scaled and usage is not reported.
     #[serde(default)]
     pub cloud: Option<SocketAddr>,
-    /// The speed of this instance's link, in megabits a second.
-    #[serde(default = "usual_link")]
+    /// Bandwidth of this instance's network link, in megabits a second.
+    #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
-    /// Processor time of this instance, in cores.
-    #[serde(default = "usual_cores")]
+    /// CPU quota of this instance, in cores.
+    #[serde(default = "default_cores")]
     pub cores: f64,
-    /// Bounds that the operators set.
+    /// Timing and rate bounds that the operators set.
     pub bounds: FrontBounds,
 }
 
-/// The link of the users' entry instances of today, in megabits a second.
-fn usual_link() -> f64 {
+/// Bandwidth of the users' current entry instances.
+fn default_link_mbps() -> f64 {
     1000.0
 }
 
-/// The processor time of the users' entry instances of today, in cores.
-fn usual_cores() -> f64 {
+/// CPU quota of the users' current entry instances.
+fn default_cores() -> f64 {
     0.25
 }
 
-/// Bounds of a front process. Names end in the unit.
+/// Timing and rate bounds of a front process. Names of times end in the unit.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FrontBounds {
-    /// From a stop signal to the end of the process.
+    /// Time from a stop signal to the end of the process.
     pub grace_s: f64,
-    /// Within which a leaving endpoint gets its last new request.
+    /// Time within which a leaving endpoint gets its last new request.
     pub drain_ms: u64,
-    /// How long a lease lasts.
+    /// Lifetime of a lease.
     pub lease_ms: u64,
     /// Whether the cloud refuses calls with an old fencing token.
     pub fenced: bool,
-    /// Requests sent again, as a fraction of the requests of a service over all processes.
+    /// Retry budget as a fraction of the requests of a service over all processes.
     pub retry_ratio: f64,
-    /// Requests that may be sent again besides, over all processes.
+    /// Number of retries allowed beyond `retry_ratio`, over all processes.
     pub retry_slack: u32,
-    /// The window over which repeats are counted.
+    /// Window over which retries are counted.
     pub retry_window_s: f64,
-    /// How far an account's limit may be passed, as a fraction.
+    /// Fraction by which an account's limit may be exceeded.
     pub limit_over: f64,
-    /// Tokens by which it may be passed besides.
+    /// Number of tokens by which a limit may be exceeded beyond `limit_over`.
     pub limit_slack: u64,
-    /// The window over which limits are counted.
+    /// Window over which limits are counted.
     pub limit_window_s: f64,
-    /// The length of a usage window; 0 if usage is not reported.
+    /// Length of a usage window; 0 if usage is not reported.
     pub usage_window_s: f64,
-    /// How long after its end a window's usage is due.
+    /// Time after the end of a window within which its usage must be reported.
     pub usage_due_s: f64,
-    /// How soon after the store's return the endpoints that it forgot are listed again.
+    /// Time after a store outage until endpoints that the store lost are listed again.
     pub relist_ms: u64,
-    /// Between two heartbeats of an endpoint to the store.
+    /// Period of an endpoint's heartbeats to the store.
     pub heartbeat_ms: u64,
-    /// Within which a change of the rules is in force.
+    /// Time within which a change of the rules takes effect.
     pub apply_ms: u64,
-    /// The part of a service's requests that a version may get before it is proved; 0 if there are no roll-outs.
+    /// Maximum fraction of a service's requests that an unproven version may get during a roll-out; 0 without roll-outs.
     pub release_share: f64,
-    /// Requests that it may get besides.
+    /// Number of requests that an unproven version may get beyond `release_share`.
     pub release_slack: u32,
 }
 
 impl Default for FrontBounds {
-    /// The users' bounds of today.
+    /// Bounds of the users' current deployment.
     fn default() -> Self {
         FrontBounds {
             grace_s: 8.0,
@@ -115,7 +115,7 @@
 }
 
 impl FieldCheck for FrontSettings {
-    fn check(&self) -> Result<(), FieldFault> {
+    fn check(&self) -> Result<(), FieldError> {
         require(!self.instance.as_str().is_empty(), "instance", "must not be empty")?;
         require(!self.domain.as_str().is_empty(), "domain", "must not be empty")?;
         require(self.link_mbps > 0.0, "link_mbps", "must be more than 0")?;
@@ -125,19 +125,19 @@
 }
 
 impl FrontBounds {
-    fn check(&self) -> Result<(), FieldFault> {
-        const SHORTEST_MS: u64 = 100;
-        const SHORTEST_S: f64 = 0.1;
-        let long = |ms: u64| ms >= SHORTEST_MS;
-        require(self.grace_s >= SHORTEST_S, "grace_s", "must be at least 0.1")?;
+    fn check(&self) -> Result<(), FieldError> {
+        const MIN_MS: u64 = 100;
+        const MIN_S: f64 = 0.1;
+        let long = |ms: u64| ms >= MIN_MS;
+        require(self.grace_s >= MIN_S, "grace_s", "must be at least 0.1")?;
         require(long(self.drain_ms), "drain_ms", "must be at least 100")?;
         require(long(self.lease_ms), "lease_ms", "must be at least 100")?;
         require(long(self.heartbeat_ms), "heartbeat_ms", "must be at least 100")?;
         require(long(self.apply_ms), "apply_ms", "must be at least 100")?;
-        require(self.retry_window_s >= SHORTEST_S, "retry_window_s", "must be at least 0.1")?;
-        require(self.limit_window_s >= SHORTEST_S, "limit_window_s", "must be at least 0.1")?;
+        require(self.retry_window_s >= MIN_S, "retry_window_s", "must be at least 0.1")?;
+        require(self.limit_window_s >= MIN_S, "limit_window_s", "must be at least 0.1")?;
         let window = self.usage_window_s;
-        let reported = window == 0.0 || window >= SHORTEST_S;
+        let reported = window == 0.0 || window >= MIN_S;
         require(reported, "usage_window_s", "must be 0, or at least 0.1")?;
         require((0.0..=1.0).contains(&self.retry_ratio), "retry_ratio", "must lie in 0 to 1")?;
         require((0.0..=1.0).contains(&self.limit_over), "limit_over", "must lie in 0 to 1")?;
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings files: JSON with comments, fully checked before a process does anything.
+//! Settings files in JSON with comments, which are validated completely at the start of a process.
 //!
-//! A fault names file, line and field, because the operator who reads it at night has only that.
+//! Every error names the file, line and field, so that an operator can fix it from the message alone.
 
 pub mod entry;
 pub mod fleet;
--- a/crates/conf/src/reader.rs
+++ b/crates/conf/src/reader.rs
@@ -1,11 +1,11 @@
-//! Reads one settings file and places every fault.
+//! Reads and validates a settings file, and locates errors by line and field.
 
 use quick_error::quick_error;
 use serde::de::DeserializeOwned;
 use std::path::{Path, PathBuf};
 
 quick_error! {
-    /// Why a settings file was refused. All carry result code 4001.
+    /// Why a settings file was rejected. Every message starts with result code 4001.
     #[derive(Debug)]
     pub enum SettingsError {
         /// The file cannot be read.
@@ -16,45 +16,45 @@
         Syntax(path: PathBuf, line: usize, text: String) {
             display("4001 {}:{}: {}", path.display(), line, text)
         }
-        /// A value breaks a rule.
+        /// A value violates a rule.
         Value(path: PathBuf, line: usize, field: &'static str, text: String) {
             display("4001 {}:{}: field `{}`: {}", path.display(), line, field, text)
         }
     }
 }
 
-/// The result of reading settings.
+/// Result of reading settings.
 pub type Result<T> = std::result::Result<T, SettingsError>;
 
-/// A value that breaks a rule: the field and what is wrong with it.
+/// Violation of a rule by the value of one field.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FieldFault {
-    /// The field's name as the file writes it.
+pub struct FieldError {
+    /// Name of the field in the settings file.
     pub field: &'static str,
-    /// What is wrong, and what would be right.
+    /// Description of the violation or of the values that are allowed.
     pub text: String,
 }
 
-/// Settings that check their own values.
+/// Validation of the values of a settings type.
 pub trait FieldCheck {
-    /// The first fault, if there is one.
+    /// Checks all fields and stops at the first violation.
     ///
     /// # Errors
     /// The field and the rule it breaks.
-    fn check(&self) -> std::result::Result<(), FieldFault>;
+    fn check(&self) -> std::result::Result<(), FieldError>;
 }
 
-/// Reads and checks the settings in `path`.
+/// Reads and validates the settings file at `path`.
 ///
 /// # Errors
-/// The file, line and field of the first fault.
+/// The file, line and field of the first error.
 pub fn read_settings<T: DeserializeOwned + FieldCheck>(path: &Path) -> Result<T> {
     let text = std::fs::read_to_string(path)
         .map_err(|cause| SettingsError::Unreadable(path.to_path_buf(), cause))?;
     parse_settings(path, &text)
 }
 
-/// Reads and checks settings from `text`; `path` is only named in faults.
+/// Reads and validates settings from `text`; `path` is used only in error messages.
 ///
 /// # Errors
 /// As [`read_settings`].
@@ -69,20 +69,20 @@
     Ok(settings)
 }
 
-/// The line on which `field` is written; 1 if it was left out and its default is at fault.
+/// Returns the line on which `field` is set, or 1 if it is absent and its default violates a rule.
 fn line_of_field(text: &str, field: &str) -> usize {
     let quoted = format!("\"{field}\"");
     text.lines().position(|line| line.contains(&quoted)).map_or(1, |at| at + 1)
 }
 
-/// Fails unless `holds`.
+/// Checks that `holds` is true.
 ///
 /// # Errors
-/// The fault of `field`, with `text`.
+/// A violation by `field` that `text` describes.
 pub fn require(
     holds: bool,
     field: &'static str,
     text: &str,
-) -> std::result::Result<(), FieldFault> {
-    if holds { Ok(()) } else { Err(FieldFault { field, text: text.to_owned() }) }
+) -> std::result::Result<(), FieldError> {
+    if holds { Ok(()) } else { Err(FieldError { field, text: text.to_owned() }) }
 }
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 use oleander_conf::FieldCheck;
-use oleander_conf::reader::{FieldFault, require};
+use oleander_conf::reader::{FieldError, require};
 use serde::Deserialize;
 
 /// A reclaim that the run asks the stand-in for.
@@ -60,7 +60,7 @@
 }
 
 impl FieldCheck for LoadSettings {
-    fn check(&self) -> Result<(), FieldFault> {
+    fn check(&self) -> Result<(), FieldError> {
         require(!self.entries.is_empty(), "entries", "names no entry")?;
         require(!self.versions.is_empty(), "versions", "names no version")?;
         require(self.run_ms > 0, "run_ms", "must be above 0")?;
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -11,7 +11,7 @@
 use actix_web::web::{Data, Json, Path};
 use actix_web::{App, HttpResponse, web};
 use oleander_conf::FieldCheck;
-use oleander_conf::reader::{FieldFault, require};
+use oleander_conf::reader::{FieldError, require};
 use oleander_kind::{DomainName, EndpointRole, InstanceId, InstanceMarket};
 use oleander_serve::{HttpSite, local_data, serve_app};
 use serde::Deserialize;
@@ -53,7 +53,7 @@
 }
 
 impl FieldCheck for StandinSettings {
-    fn check(&self) -> Result<(), FieldFault> {
+    fn check(&self) -> Result<(), FieldError> {
         require(self.engine.most_batch > 0, "most_batch", "must be above 0")?;
         require(self.engine.prefill_chunk > 0, "prefill_chunk", "must be above 0")?;
         require(self.weights_at_once > 0, "weights_at_once", "must be above 0")
--- a/tests/all/settings.rs
+++ b/tests/all/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: faults name file, line and field.
+//! Tests that errors in settings files name the file, line and field.
 
 use oleandertack::conf::reader::parse_settings;
 use oleandertack::conf::{EntrySettings, FleetSettings, Result};
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn comments_and_defaults_are_taken() {
+fn comments_are_accepted_and_defaults_apply() {
     let settings = entry("").expect("no faults");
 
     assert_eq!(settings.times.probe_ms, 1000);
 }
 
 #[test]
-fn an_unknown_field_is_a_fault_with_its_line() {
+fn an_unknown_field_is_an_error_that_names_the_line() {
     let fault = entry(",\n\"probe\": 5").expect_err("unknown").to_string();
 
     assert!(fault.starts_with("4001 entry.json:7:"), "{fault}");
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn a_value_that_breaks_a_rule_names_line_and_field() {
+fn an_invalid_value_is_an_error_that_names_line_and_field() {
     let fault = entry(",\n\"bounds\": {\n\"held_bytes\": 10 }").expect_err("too small").to_string();
 
     assert!(fault.starts_with("4001 entry.json:8: field `held_bytes`"), "{fault}");
 }
 
 #[test]
-fn a_fleet_lease_must_outlast_slow_renewals() {
+fn a_fleet_lease_must_last_three_call_timeouts() {
     let text = format!(
         "{{ \"instance\": \"f\", \"domain\": \"kopli\", \"admin\": \"127.0.0.1:2\",\n\
          \"platform\": \"http://127.0.0.1:4\", \"list\": \"http://127.0.0.1:4/list\",\n\
