--- a/crates/board/src/clock.rs
+++ b/crates/board/src/clock.rs
@@ -1,32 +1,34 @@
-//! The only place that reads clocks.
+//! Clocks of a process. No other module reads the system's clocks.
 
 use nix::time::{ClockId, clock_gettime};
 use oleander_kind::{ClockTime, TimeSpan};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Clocks of a process start well above zero, so that "long ago" can be written as zero.
-const HEAD_START_MS: u64 = 1_000_000;
+/// Offset of the monotonic clocks, in milliseconds, so that time zero lies well before the start of the process.
+const CLOCK_OFFSET_MS: u64 = 1_000_000;
 
-/// The clocks of one process. The monotonic one is the runtime's, by which timers fire too: tests that
-/// move it play minutes in moments.
+/// The clocks of one process.
+///
+/// The monotonic clock is that of the async runtime, which also drives its timers. Tests that advance it
+/// simulate minutes without waiting.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeClock {
     started: Instant,
-    /// The clock that also counts while the machine is suspended, as the process began.
-    started_awake: Option<Duration>,
-    /// The time of day as the process began, if it goes on from there with the monotonic clock.
-    wall_from: Option<ClockTime>,
+    /// Reading of the boot-time clock, which includes suspended time, at the start of the process.
+    started_boottime: Option<Duration>,
+    /// Wall-clock time at the start, if the wall clock then follows the monotonic clock.
+    wall_start: Option<ClockTime>,
 }
 
 impl Default for NodeClock {
     fn default() -> Self {
-        NodeClock { started: Instant::now(), started_awake: since_boot(), wall_from: None }
+        NodeClock { started: Instant::now(), started_boottime: since_boot(), wall_start: None }
     }
 }
 
-/// Time since the machine began, in which it was suspended included; none if the system has no such
-/// clock.
+/// Time since the machine booted, including time in which it was suspended; none if the system has no
+/// such clock.
 fn since_boot() -> Option<Duration> {
     clock_gettime(ClockId::CLOCK_BOOTTIME).ok().map(Duration::from)
 }
@@ -36,31 +38,31 @@
 }
 
 impl NodeClock {
-    /// Clocks that all go with the runtime's: for tests that move it.
-    pub fn of_runtime() -> Self {
+    /// Creates clocks that all follow the runtime's clock, for tests that advance it.
+    pub fn from_runtime() -> Self {
         let system = NodeClock::default();
-        NodeClock { started_awake: None, wall_from: Some(system.wall()), ..system }
+        NodeClock { started_boottime: None, wall_start: Some(system.wall()), ..system }
     }
 
-    /// Monotonic time since a little before the process began.
+    /// Returns the monotonic time, which starts at a fixed offset when the process starts.
     pub fn now(&self) -> ClockTime {
-        ClockTime(HEAD_START_MS + millis(self.started.elapsed()))
+        ClockTime(CLOCK_OFFSET_MS + millis(self.started.elapsed()))
     }
 
-    /// Like [`now`](Self::now), but time in which the machine was suspended counts too.
+    /// Returns the monotonic time like [`now`](Self::now), but including time in which the machine was suspended.
     ///
-    /// A lease runs out for the others while its holder is suspended. By a clock that stood still
-    /// meanwhile the holder would go on for the rest of the lease after it woke, beside its
-    /// successor. A system without such a clock does not suspend its machines unseen; the monotonic
-    /// clock serves there.
+    /// Other processes see a lease expire while its holder is suspended. With a clock that stops
+    /// during suspension, the holder would resume and use the rest of the lease concurrently with its
+    /// successor. A system without such a clock does not suspend its machines unnoticed, so the
+    /// monotonic clock suffices there.
     pub fn lease_now(&self) -> ClockTime {
-        let since = self.started_awake.zip(since_boot()).map(|(start, now)| now - start);
-        since.map_or_else(|| self.now(), |span| ClockTime(HEAD_START_MS + millis(span)))
+        let since = self.started_boottime.zip(since_boot()).map(|(start, now)| now - start);
+        since.map_or_else(|| self.now(), |span| ClockTime(CLOCK_OFFSET_MS + millis(span)))
     }
 
-    /// Wall-clock time since 1970.
+    /// Returns the wall-clock time since 1970.
     pub fn wall(&self) -> ClockTime {
-        if let Some(from) = self.wall_from {
+        if let Some(from) = self.wall_start {
             return from + TimeSpan(millis(self.started.elapsed()));
         }
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/board/src/dump.rs
+++ b/crates/board/src/dump.rs
@@ -1,4 +1,4 @@
-//! The dump of a process's state: typed, versioned, bounded, without secrets.
+//! Dump of a process's state for operators. It is versioned, bounded in size and contains no secrets.
 
 use crate::facts::{Blackboard, StopStage};
 use compact_str::CompactString;
@@ -6,12 +6,12 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The version of the dump's form.
+/// Version of the dump format.
 pub const DUMP_VERSION: u32 = 1;
-/// The most endpoints a dump lists.
-pub const MOST_ENDPOINTS: usize = 1000;
+/// Maximum number of endpoints that a dump lists.
+pub const MAX_ENDPOINTS: usize = 1000;
 
-/// An endpoint in a dump.
+/// State of one endpoint in a dump.
 #[derive(Debug, Serialize)]
 pub struct EndpointDump {
     /// Instance.
@@ -22,22 +22,22 @@
     pub domain: DomainName,
     /// Version.
     pub version: VersionName,
-    /// Stage in the list.
+    /// Stage according to the endpoint list.
     pub stage: EndpointStage,
-    /// Whether it is known to leave.
+    /// Whether the endpoint is known to be leaving.
     pub leaving: bool,
-    /// Requests of this process in flight there.
+    /// Requests of this process in flight to the endpoint.
     pub in_flight: u32,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
     /// Age of the newest load report, in milliseconds.
     pub load_age_ms: Option<u64>,
 }
 
-/// The whole dump.
+/// Dump of the state of one process.
 #[derive(Debug, Serialize)]
 pub struct StateDump {
-    /// Version of this form.
+    /// Version of the dump format.
     pub dump_version: u32,
     /// This instance.
     pub instance: InstanceId,
@@ -45,25 +45,25 @@
     pub domain: DomainName,
     /// Generation of the bundle in force; 0 if none.
     pub generation: u64,
-    /// Digest of the bundle in force.
+    /// Digest of the bundle in force; empty if none.
     pub digest: CompactString,
-    /// Since the bundle was known to be the newest, in milliseconds.
+    /// Time since the bundle was last known to be the newest, in milliseconds.
     pub bundle_age_ms: Option<u64>,
-    /// Since the list was read, in milliseconds.
+    /// Time since the endpoint list was last read, in milliseconds.
     pub list_age_ms: Option<u64>,
-    /// Whether the store answered its newest call.
+    /// Whether the store answered the most recent call.
     pub store_up: bool,
-    /// How far a planned stop has come.
+    /// Progress of a planned stop.
     pub stop: StopStage,
-    /// Endpoints, at most [`MOST_ENDPOINTS`].
+    /// Endpoints, at most [`MAX_ENDPOINTS`].
     pub endpoints: Vec<EndpointDump>,
-    /// Endpoints left out of the list.
+    /// Number of endpoints omitted from the dump.
     pub endpoints_left_out: usize,
-    /// Summaries of controllers.
+    /// Summaries written by controllers, by name.
     pub summaries: BTreeMap<&'static str, serde_json::Value>,
 }
 
-/// Dumps `board` as it stands at `now`.
+/// Makes a dump of `board` at time `now`.
 pub fn dump_state(
     board: &Blackboard,
     instance: &InstanceId,
@@ -74,7 +74,7 @@
     let endpoints: Vec<_> = board
         .endpoints
         .iter()
-        .take(MOST_ENDPOINTS)
+        .take(MAX_ENDPOINTS)
         .map(|(_, fact)| endpoint_dump(fact, now))
         .collect();
     StateDump {
--- a/crates/board/src/facts.rs
+++ b/crates/board/src/facts.rs
@@ -1,4 +1,4 @@
-//! The facts themselves.
+//! State that a process keeps about endpoints, the bundle in force and its own planned stop.
 
 use oleander_bundle::SignedBundle;
 use oleander_kind::{
@@ -9,123 +9,123 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// The key of an endpoint on the board.
+/// Key of an endpoint on the blackboard.
 pub type EndpointKey = ArenaKey<EndpointFact>;
 
-/// An endpoint that the list does not show for this long is dropped even if it answers.
-pub const UNLISTED_LIMIT: TimeSpan = TimeSpan::secs(60);
+/// Time after which an endpoint absent from the list is dropped even if it still answers.
+pub const UNLISTED_TIMEOUT: TimeSpan = TimeSpan::secs(60);
 
-/// An endpoint's load as it reported it.
+/// Load that an endpoint reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedLoad {
-    /// Streams in the batch.
+    /// Streams in the running batch.
     pub running: u32,
-    /// Streams waiting.
+    /// Streams waiting to enter the batch.
     pub waiting: u32,
-    /// Prompt tokens not computed yet.
+    /// Prompt tokens not yet processed.
     pub prefill: u64,
-    /// Time of the newest step, in microseconds.
+    /// Duration of the most recent step, in microseconds.
     pub step_us: u64,
 }
 
-/// What is known of one endpoint.
+/// What this process knows about one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointFact {
-    /// As the list shows it.
+    /// Record from the endpoint list.
     pub record: EndpointRecord,
-    /// Once it is known to leave, by whatever path, it stays so: the list lags and may still
-    /// show it live.
+    /// Whether the endpoint is leaving. Stays set once any source reports it, because the list lags
+    /// and may still show the endpoint as live.
     pub leaving: bool,
-    /// Wall-clock time of its end, if it is leaving.
+    /// Wall-clock time at which a leaving endpoint ends.
     pub ends_at: Option<ClockTime>,
-    /// Requests sent from here that are not answered.
+    /// Requests of this process that are not answered yet.
     pub in_flight: u32,
-    /// Prompt tokens sent from here that brought no first token yet.
+    /// Prompt tokens of this process's requests that have produced no first token yet.
     pub prefill_sent: u64,
-    /// The newest load report and when it came.
+    /// Most recent load report and the time of its arrival.
     pub load: Option<(ClockTime, ReportedLoad)>,
-    /// Requests sent from here since the newest report.
+    /// Requests sent by this process since that report.
     pub sent_since_report: u32,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Not used before this time.
+    /// Time until which the endpoint is ejected and gets no work.
     pub ejected_until: ClockTime,
-    /// Since when the list does not show it.
+    /// Time since which the endpoint is absent from the list.
     pub unlisted_since: Option<ClockTime>,
-    /// When it was first seen here.
+    /// Time at which this process first saw the endpoint.
     pub seen_at: ClockTime,
-    /// The newest cache event number.
+    /// Sequence number of the most recent cache event.
     pub cache_seq: u64,
-    /// Raised when cache events were missed: what is known from before counts less.
+    /// Incremented when cache events were missed; cache knowledge from earlier epochs counts less.
     pub cache_epoch: u32,
 }
 
 impl EndpointFact {
-    /// Whether it may get new work at `now`.
+    /// Returns whether the endpoint may get new requests at `now`.
     pub fn takes_work(&self, now: ClockTime) -> bool {
         let live = self.record.stage == EndpointStage::Live && !self.leaving;
         live && now >= self.ejected_until
     }
 }
 
-/// How far a planned stop has come.
+/// Stage of a planned stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopStage {
-    /// Not asked to stop.
+    /// No stop was requested.
     #[default]
     Serving,
-    /// Not ready any more; everything is still answered.
+    /// Readiness is withdrawn; all requests are still accepted.
     Unready,
-    /// No new requests; those accepted finish or move.
+    /// New requests are refused; accepted ones finish or move to another process.
     Draining,
-    /// All accepted requests are finished or moved.
+    /// All accepted requests have finished or moved.
     Stopped,
 }
 
-/// Everything one process knows.
+/// Shared state of one process, which its controllers read and write.
 #[derive(Default)]
 pub struct Blackboard {
     /// The bundle in force.
     pub bundle: Option<Rc<SignedBundle>>,
-    /// When the bundle was last known to be the newest (monotonic).
+    /// Monotonic time at which the bundle was last known to be the newest.
     pub bundle_seen: ClockTime,
     /// Endpoints.
     pub endpoints: ItemArena<EndpointFact>,
     by_instance: HashMap<InstanceId, EndpointKey>,
     by_service: BTreeMap<ServiceName, Vec<EndpointKey>>,
-    /// When the list was last read (monotonic).
+    /// Monotonic time at which the endpoint list was last read.
     pub list_seen: Option<ClockTime>,
-    /// How far a planned stop has come.
+    /// Stage of a planned stop.
     pub stop: StopStage,
-    /// Whether the store answered its newest call.
+    /// Whether the store answered the most recent call.
     pub store_up: bool,
-    /// Short summaries that controllers with state of their own write, by name.
+    /// Summaries by controllers that keep state of their own, by name.
     pub summaries: BTreeMap<&'static str, serde_json::Value>,
 }
 
 impl Blackboard {
-    /// An empty board.
+    /// Creates an empty blackboard.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The endpoint of an instance.
+    /// Returns the key of the endpoint with this instance name.
     pub fn endpoint_key(&self, instance: &InstanceId) -> Option<EndpointKey> {
         self.by_instance.get(instance).copied()
     }
 
-    /// The endpoints of a service.
+    /// Returns the keys of the endpoints of a service.
     pub fn endpoints_of(&self, service: &ServiceName) -> &[EndpointKey] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes a whole list as it was read at `now`.
+    /// Applies a snapshot of the endpoint list that was read at `now`.
     ///
-    /// The list lags and may miss lines, or all of them. An endpoint it no longer shows is
-    /// therefore kept in use for as long as it answers, and dropped once it failed, or was not
-    /// shown for [`UNLISTED_LIMIT`], and nothing of ours is in flight to it.
-    pub fn take_list(&mut self, records: Vec<EndpointRecord>, now: ClockTime) {
+    /// The list lags and may lack some endpoints or all of them, so an absent endpoint stays in use
+    /// while it answers. It is dropped when no request of this process is in flight to it and it has
+    /// failed, is leaving, or has been absent for [`UNLISTED_TIMEOUT`].
+    pub fn apply_list(&mut self, records: Vec<EndpointRecord>, now: ClockTime) {
         let mut shown: HashMap<InstanceId, EndpointRecord> =
             records.into_iter().map(|record| (record.instance.clone(), record)).collect();
         let mut dropped = Vec::new();
@@ -133,8 +133,8 @@
         for key in known {
             let Some(fact) = self.endpoints.get_mut(key) else { continue };
             match shown.remove(&fact.record.instance) {
-                Some(record) => fact.take_record(record),
-                None if fact.miss_from_list(now) => dropped.push(key),
+                Some(record) => fact.apply_record(record),
+                None if fact.note_unlisted(now) => dropped.push(key),
                 None => {}
             }
         }
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Notes that an instance is leaving, from whatever path. Returns whether that was news.
+    /// Marks an instance as leaving, whichever source reported it. Returns whether it was not marked before.
     pub fn mark_leaving(&mut self, instance: &InstanceId, ends_at: Option<ClockTime>) -> bool {
         let Some(key) = self.endpoint_key(instance) else {
             return false;
@@ -197,14 +197,14 @@
 }
 
 impl EndpointFact {
-    /// Notes that the list does not show it. Returns whether it may be dropped.
-    fn miss_from_list(&mut self, now: ClockTime) -> bool {
+    /// Records that the endpoint is absent from the list. Returns whether it may be dropped.
+    fn note_unlisted(&mut self, now: ClockTime) -> bool {
         let since = *self.unlisted_since.get_or_insert(now);
-        let given_up = self.failures > 0 || self.leaving || now - since >= UNLISTED_LIMIT;
+        let given_up = self.failures > 0 || self.leaving || now - since >= UNLISTED_TIMEOUT;
         given_up && self.in_flight == 0
     }
 
-    fn take_record(&mut self, record: EndpointRecord) {
+    fn apply_record(&mut self, record: EndpointRecord) {
         self.unlisted_since = None;
         if record.stage == EndpointStage::Leaving {
             self.leaving = true;
--- a/crates/board/src/lib.rs
+++ b/crates/board/src/lib.rs
@@ -1,7 +1,7 @@
-//! The blackboard: the facts that controllers read and write, and how they are told.
+//! Blackboard of a process: shared state that its controllers read and write, with dumps, logs and metrics.
 //!
-//! Controllers never call one another. Each reads facts here, decides, and writes facts back; the
-//! edge carries out actions. A dump of the board is therefore a dump of all the process knows.
+//! Controllers never call one another. Each reads the shared state, decides and writes results back;
+//! the edge performs the actions. A dump of the blackboard therefore shows all that the process knows.
 
 pub mod clock;
 pub mod dump;
--- a/crates/board/src/meter.rs
+++ b/crates/board/src/meter.rs
@@ -1,19 +1,19 @@
-//! Metrics by opentelemetry, told in Prometheus' text form.
+//! Metrics recorded with OpenTelemetry and exported in the Prometheus text format.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram, Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Where a process's instruments are registered and told.
-pub struct MeterBase {
+/// Registry of a process's metrics and their Prometheus exporter.
+pub struct MetricRegistry {
     registry: Registry,
-    // Kept so that the instruments stay connected.
+    // Held to keep the instruments connected to the exporter.
     provider: SdkMeterProvider,
 }
 
-impl MeterBase {
-    /// A base without instruments.
+impl MetricRegistry {
+    /// Creates an empty registry.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone()).build();
@@ -22,36 +22,36 @@
             Ok(reader) => builder.with_reader(reader).build(),
             Err(_) => builder.build(),
         };
-        MeterBase { registry, provider }
+        MetricRegistry { registry, provider }
     }
 
-    /// Makes instruments.
+    /// Returns a meter that creates instruments in this registry.
     pub fn meter(&self) -> Meter {
         self.provider.meter("oleandertack")
     }
 
-    /// All metrics in Prometheus' text form.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut out = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut out);
         String::from_utf8_lossy(&out).into_owned()
     }
 
-    /// Flushes what is pending, before the process ends.
+    /// Flushes pending measurements before the process ends.
     pub fn flush(&self) {
         let _ = self.provider.force_flush();
     }
 }
 
-impl Default for MeterBase {
+impl Default for MetricRegistry {
     fn default() -> Self {
         Self::new()
     }
 }
 
-/// The instruments of one process.
+/// Metric instruments of one process.
 pub struct NodeMeter {
-    base: MeterBase,
+    base: MetricRegistry,
     requests: Counter<u64>,
     results: Counter<u64>,
     retries: Counter<u64>,
@@ -62,9 +62,9 @@
 }
 
 impl NodeMeter {
-    /// New instruments, named after the crate's subject.
+    /// Creates the instruments in a new registry.
     pub fn new() -> Self {
-        let base = MeterBase::new();
+        let base = MetricRegistry::new();
         let meter = base.meter();
         NodeMeter {
             requests: meter.u64_counter("oleander_requests").build(),
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Counts a request that was read.
+    /// Counts a received request.
     pub fn count_request(&self, service: &str) {
         self.requests.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts how a request ended: 0 for whole, else the result code.
+    /// Counts the end of a request by result code, with 0 for a complete answer.
     pub fn count_result(&self, code: u16) {
         self.results.add(1, &[KeyValue::new("code", i64::from(code))]);
     }
@@ -93,32 +93,32 @@
         self.retries.add(1, &[KeyValue::new("cause", cause)]);
     }
 
-    /// Counts tokens shown to callers.
+    /// Counts tokens sent to callers.
     pub fn count_tokens(&self, tokens: u64) {
         self.tokens.add(tokens, &[]);
     }
 
-    /// Counts tokens that had to be computed again, by cause.
+    /// Counts tokens that were computed again, by cause.
     pub fn count_recomputed(&self, tokens: u64, cause: &'static str) {
         self.recomputed.add(tokens, &[KeyValue::new("cause", cause)]);
     }
 
-    /// Counts bytes to and from peers.
+    /// Counts bytes exchanged with peers, by direction.
     pub fn count_peer_bytes(&self, bytes: u64, direction: &'static str) {
         self.peer_bytes.add(bytes, &[KeyValue::new("direction", direction)]);
     }
 
-    /// Notes a time to the first token, in milliseconds.
+    /// Records a time to first token, in milliseconds.
     pub fn note_first_token(&self, ms: f64) {
         self.first_token.record(ms, &[]);
     }
 
-    /// All metrics in Prometheus' text form.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         self.base.text()
     }
 
-    /// Flushes what is pending, before the process ends.
+    /// Flushes pending measurements before the process ends.
     pub fn flush(&self) {
         self.base.flush();
     }
--- a/crates/edge/src/lists.rs
+++ b/crates/edge/src/lists.rs
@@ -104,7 +104,7 @@
         .map(|record| (record.instance.clone(), record.ends_at))
         .collect();
     let now = node.clock.now();
-    node.board.borrow_mut().take_list(records, now);
+    node.board.borrow_mut().apply_list(records, now);
     for (instance, ends_at) in leaving {
         node.note_leaving(&instance, ends_at);
     }
--- a/crates/front/src/meter.rs
+++ b/crates/front/src/meter.rs
@@ -3,7 +3,7 @@
 //! Labels are services, versions, result codes and other values from fixed tables, so that their number is
 //! bounded. Accounts and endpoints appear in the log only.
 
-use oleander_board::meter::MeterBase;
+use oleander_board::meter::MetricRegistry;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram};
 
@@ -14,7 +14,7 @@
 
 /// Metrics of a front process.
 pub struct FrontMeter {
-    base: MeterBase,
+    base: MetricRegistry,
     requests: Counter<u64>,
     attempts: Counter<u64>,
     resumes: Counter<u64>,
@@ -33,7 +33,7 @@
 
 impl Default for FrontMeter {
     fn default() -> Self {
-        let base = MeterBase::new();
+        let base = MetricRegistry::new();
         let meter = base.meter();
         let latency = |name: &'static str| {
             meter.f64_histogram(name).with_boundaries(LATENCY_BOUNDS.to_vec()).build()
--- a/crates/gauge/src/decide.rs
+++ b/crates/gauge/src/decide.rs
@@ -184,7 +184,7 @@
 
 fn board() -> Blackboard {
     let mut board = Blackboard::new();
-    board.take_list(replicas(), NOW);
+    board.apply_list(replicas(), NOW);
     board
 }
 
@@ -192,7 +192,7 @@
     const PROMPT_BLOCKS: u64 = 64;
     let choose = |services_share: usize| {
         let mut board = Blackboard::new();
-        board.take_list((0..services_share).map(replica).collect(), NOW);
+        board.apply_list((0..services_share).map(replica).collect(), NOW);
         let mut router =
             RouteController::new(domain(0), RoutePolicy::Cost, RouteSettings::default());
         let service = ServiceName::from("recipe-llm");
--- a/crates/gauge/src/policy.rs
+++ b/crates/gauge/src/policy.rs
@@ -160,7 +160,7 @@
     let entry = |at: usize| {
         let domain = DomainName::from(format!("d{}", at % DOMAINS).as_str());
         let mut board = Blackboard::new();
-        board.take_list(records(shape.engines), ClockTime(0));
+        board.apply_list(records(shape.engines), ClockTime(0));
         Entry { board, router: RouteController::new(domain, policy, settings) }
     };
     let mut run = PolicyRun {
--- a/tests/all/plays.rs
+++ b/tests/all/plays.rs
@@ -374,7 +374,7 @@
         let settings = settings(format!("front-{at}"), self.peers[at], seeds);
         let settings = FrontSettings { bounds: self.bounds.clone(), ..settings };
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let clock = NodeClock::of_runtime();
+        let clock = NodeClock::from_runtime();
         let ports = FrontPorts { store: Box::new(store), cloud: self.cloud.clone(), clock };
         let process = start_front(settings, log, Box::new(HttpDialect), ports, None);
         (process.await.expect("it listens"), way)
