--- a/crates/bundle/src/apply.rs
+++ b/crates/bundle/src/apply.rs
@@ -1,4 +1,4 @@
-//! When a process takes a bundle into force.
+//! Decides whether a process applies a bundle that it was offered.
 
 use crate::content::SignPolicy;
 use crate::sign::SignedBundle;
@@ -6,20 +6,20 @@
 use oleander_kind::ResultCode;
 use std::rc::Rc;
 
-/// What became of an offered bundle.
+/// Result of offering a valid bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ApplyVerdict {
-    /// It is in force now.
+pub enum ApplyOutcome {
+    /// The bundle was applied and is now in force.
     Applied,
-    /// It is the one in force.
+    /// The bundle was already in force.
     Same,
 }
 
-/// Holds the bundle in force and lets only newer ones in.
+/// Holds the bundle in force and accepts only newer ones.
 ///
-/// The store may be restored from a backup, a read may be stale, a peer may be behind: each would
-/// take a process back to accounts and versions that operators replaced. The generation in force
-/// therefore only rises, and a bundle goes in whole or not at all.
+/// A store restored from a backup, a stale read or a lagging peer could return a process to accounts
+/// and versions that operators replaced. The generation in force therefore never decreases, and a
+/// bundle is applied as a whole or not at all.
 #[derive(Debug, Default)]
 pub struct BundleGate {
     root: SignPolicy,
@@ -27,34 +27,34 @@
 }
 
 impl BundleGate {
-    /// A gate whose first bundle must be signed under `root`.
+    /// Creates a gate without a bundle, whose first bundle must be signed under `root`.
     pub fn new(root: SignPolicy) -> Self {
         BundleGate { root, current: None }
     }
 
-    /// The bundle in force.
+    /// Returns the bundle in force.
     pub fn current(&self) -> Option<&Rc<SignedBundle>> {
         self.current.as_ref()
     }
 
-    /// The generation in force; 0 if none.
+    /// Returns the generation in force; 0 if none.
     pub fn generation(&self) -> u64 {
         self.current.as_ref().map_or(0, |bundle| bundle.content.generation)
     }
 
-    /// Offers `bundle`, whoever it came from.
+    /// Validates `bundle`, whatever its source, and applies it if it is newer.
     ///
-    /// A process that missed generations cannot check the chain of policies between; it then asks
-    /// for sign-off under the policy it knows. A policy change rolls the keys over in two steps
-    /// (old and new keys sign together), which docs/OPERATING.md tells operators.
+    /// A process that missed generations cannot verify the chain of policies in between, so it
+    /// requires signatures under the policy that it knows. A policy change therefore rotates keys in
+    /// two steps, in which old and new keys sign together; see docs/OPERATING.md.
     ///
     /// # Errors
-    /// The numbered reason. The bundle in force stays.
-    pub fn offer(&mut self, bundle: SignedBundle) -> Result<ApplyVerdict> {
+    /// The result code of the refusal. The bundle in force stays.
+    pub fn offer(&mut self, bundle: SignedBundle) -> Result<ApplyOutcome> {
         let content = &bundle.content;
         if let Some(current) = &self.current {
             if content.generation == current.content.generation {
-                return self.judge_same(&bundle);
+                return self.check_same_generation(&bundle);
             }
             if content.generation < current.content.generation {
                 let detail = format!(
@@ -69,13 +69,13 @@
         bundle.check_signed(policy)?;
         self.check_parent(&bundle)?;
         self.current = Some(Rc::new(bundle));
-        Ok(ApplyVerdict::Applied)
+        Ok(ApplyOutcome::Applied)
     }
 
-    fn judge_same(&self, bundle: &SignedBundle) -> Result<ApplyVerdict> {
+    fn check_same_generation(&self, bundle: &SignedBundle) -> Result<ApplyOutcome> {
         let same = self.current.as_ref().is_some_and(|held| held.content == bundle.content);
         if same {
-            return Ok(ApplyVerdict::Same);
+            return Ok(ApplyOutcome::Same);
         }
         let detail = format!("another bundle is generation {}", bundle.content.generation);
         Err(BundleError::Refused(ResultCode::BundleConflict, detail))
--- a/crates/bundle/src/content.rs
+++ b/crates/bundle/src/content.rs
@@ -1,4 +1,4 @@
-//! What a bundle says, and the rules it must keep.
+//! Content of a bundle and its validation rules.
 
 use crate::{BundleError, Result};
 use compact_str::CompactString;
@@ -6,42 +6,42 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The newest bundle format this release reads.
-pub const FORMAT: u32 = 1;
+/// Newest bundle format that this release can read.
+pub const BUNDLE_FORMAT: u32 = 1;
 
-/// Who may sign, and how many must.
+/// Operators who may sign a bundle, and the number of signatures required.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignPolicy {
-    /// Operators' public keys (ed25519, hex), by operator name.
+    /// Public keys of operators (ed25519, hex), by operator name.
     pub keys: BTreeMap<CompactString, CompactString>,
-    /// How many different operators must sign the next bundle.
+    /// Number of different operators who must sign the next bundle.
     pub quorum: usize,
 }
 
-/// A client account.
+/// Client account with its keys and limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountEntry {
-    /// SHA-256 (hex) of each caller key that is taken. Keys themselves are never written.
+    /// SHA-256 (hex) of each accepted caller key. Keys themselves are never stored.
     pub key_hashes: Vec<CompactString>,
-    /// Requests a second, over all entries.
+    /// Limit on requests a second, over all entry processes.
     pub requests_per_s: u32,
-    /// Requests in flight, over all entries.
+    /// Limit on requests in flight, over all entry processes.
     pub in_flight: u32,
-    /// Tokens a second, asked and generated, over all entries.
+    /// Limit on prompt and generated tokens a second, over all entry processes.
     pub tokens_per_s: u32,
 }
 
-/// One model version a service answers with.
+/// Model version that a service runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelEntry {
-    /// The version.
+    /// Version name.
     pub version: VersionName,
-    /// Its weights' name in the weight store.
+    /// Name of its weights in the weight store.
     pub weights: CompactString,
-    /// Adapters loaded with it.
+    /// Adapters that are loaded with it.
     #[serde(default)]
     pub adapters: Vec<CompactString>,
 }
@@ -50,47 +50,47 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteEntry {
-    /// Path prefix, below the service's own.
+    /// Path prefix relative to the path of the service.
     pub path: CompactString,
     /// HTTP method.
     pub method: CompactString,
-    /// Whether running a call twice does no harm.
+    /// Whether a call may be executed more than once.
     pub idempotent: bool,
 }
 
-/// A service that callers name.
+/// Service that callers address by name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
     /// `true` for a model service, `false` for a plain one.
     pub engine: bool,
-    /// The model version in service; none for plain services.
+    /// Model version to run; none for plain services.
     #[serde(default)]
     pub model: Option<ModelEntry>,
-    /// How many replicas are wanted.
+    /// Wanted number of replicas.
     pub replicas: u32,
-    /// Failure domains it may run in.
+    /// Failure domains in which the service may run.
     pub domains: Vec<DomainName>,
     /// Machine class.
     pub class: CompactString,
-    /// The largest share of replicas on reclaimable instances, in percent.
+    /// Maximum percentage of replicas on reclaimable instances.
     pub reclaimable_percent: u32,
-    /// Routes of a plain service. Unlisted ones are idempotent only for safe methods.
+    /// Routes of a plain service. Unlisted calls are idempotent only if their method is safe.
     #[serde(default)]
     pub routes: Vec<RouteEntry>,
-    /// Time to the first token that is aimed at, in milliseconds.
+    /// Target for the time to first token, in milliseconds.
     pub first_token_ms: u32,
 }
 
-/// All that a bundle says.
+/// Content of a bundle, which operators sign.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BundleContent {
-    /// The format number.
+    /// Format number.
     pub format: u32,
-    /// Counts up by one from parent to child.
+    /// Generation, one higher than that of the parent.
     pub generation: u64,
-    /// The parent's digest in hex; empty for the first.
+    /// Digest of the parent in hex; empty for the first bundle.
     pub parent: CompactString,
     /// Who may sign the next bundle.
     pub policy: SignPolicy,
@@ -100,12 +100,12 @@
     pub services: BTreeMap<ServiceName, ServiceEntry>,
 }
 
-/// A rule that a bundle breaks.
+/// Violation of a validation rule by a bundle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BundleFault {
-    /// The field, as a path.
+    /// Path of the field.
     pub field: String,
-    /// What is wrong.
+    /// Description of the violation.
     pub text: String,
 }
 
@@ -116,7 +116,7 @@
 }
 
 impl BundleContent {
-    /// Reads a bundle's content from JSON.
+    /// Parses the content of a bundle from JSON.
     ///
     /// # Errors
     /// [`ResultCode::BundleMalformed`] with line and column, [`ResultCode::BundleFormat`] for a
@@ -130,24 +130,24 @@
             BundleError::Refused(ResultCode::BundleMalformed, fault.to_string())
         };
         let probe: FormatProbe = serde_json::from_slice(bytes).map_err(refuse)?;
-        if probe.format > FORMAT {
-            let detail = format!("format {} is above {FORMAT}", probe.format);
+        if probe.format > BUNDLE_FORMAT {
+            let detail = format!("format {} is above {BUNDLE_FORMAT}", probe.format);
             return Err(BundleError::Refused(ResultCode::BundleFormat, detail));
         }
         serde_json::from_slice(bytes).map_err(refuse)
     }
 
-    /// The canonical bytes: field order of the types, maps by key, no white space.
+    /// Returns the canonical bytes: JSON without white space, with fields in declaration order and maps sorted by key.
     pub fn canonical(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// The digest of the canonical bytes, in hex.
+    /// Returns the digest of the canonical bytes, in hex.
     pub fn digest(&self) -> CompactString {
         hex::encode(oleander_kind::hash::digest_bytes(&self.canonical())).into()
     }
 
-    /// Every rule it breaks.
+    /// Returns all violations of the validation rules.
     pub fn faults(&self) -> Vec<BundleFault> {
         let mut faults = Vec::new();
         self.check_policy(&mut faults);
@@ -158,7 +158,7 @@
         faults
     }
 
-    /// Fails on the first fault.
+    /// Checks the validation rules and stops at the first violation.
     ///
     /// # Errors
     /// [`ResultCode::BundleFault`] naming the field.
@@ -232,8 +232,8 @@
 }
 
 impl ServiceEntry {
-    /// Whether a call of `method` on `path` may run twice. The longest listed prefix decides; an
-    /// unlisted call may only if its method is safe (RFC 9110, section 9.2.1).
+    /// Returns whether a call of `method` on `path` may be executed more than once. The longest listed
+    /// prefix decides; an unlisted call is idempotent only if its method is safe (RFC 9110, section 9.2.1).
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         let listed = self
             .routes
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,18 +1,19 @@
-//! The signed-off bundle: what operators want, in one versioned value.
+//! Signed bundles: the operators' desired state as one versioned value.
 //!
-//! A bundle is canonical bytes with a digest, its parent's digest, and sign-offs. The rules that
-//! keep it one truth are here as pure functions; reading and writing it is the edge's work.
+//! A bundle consists of canonical bytes with a digest, the digest of its parent, and signatures. This
+//! crate holds the rules that keep one sequence of bundles, as pure functions; the edge reads and
+//! writes them.
 
 pub mod apply;
 pub mod content;
 pub mod sign;
 pub mod store;
 
-pub use apply::{ApplyVerdict, BundleGate};
+pub use apply::{ApplyOutcome, BundleGate};
 pub use content::{
     AccountEntry, BundleContent, BundleFault, ModelEntry, RouteEntry, ServiceEntry, SignPolicy,
 };
-pub use sign::{SignedBundle, SigningDesk};
+pub use sign::{BundleSigner, SignedBundle};
 pub use store::{BundleHead, HEAD_NAME, SubmitStep, SubmitTask, part_name};
 
 use oleander_kind::ResultCode;
@@ -22,7 +23,7 @@
     /// Why a bundle was refused.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum BundleError {
-        /// A numbered reason with its detail.
+        /// Refused with a result code and a detail.
         Refused(code: ResultCode, detail: String) {
             display("{}: {}", code, detail)
         }
@@ -30,7 +31,7 @@
 }
 
 impl BundleError {
-    /// The result code.
+    /// Returns the result code.
     pub fn code(&self) -> ResultCode {
         match self {
             BundleError::Refused(code, _) => *code,
@@ -38,5 +39,5 @@
     }
 }
 
-/// The result of bundle operations.
+/// Result of bundle operations.
 pub type Result<T> = std::result::Result<T, BundleError>;
--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -1,4 +1,4 @@
-//! Sign-off: ed25519 over the bundle's digest.
+//! Bundle signatures: ed25519 over the digest of a bundle.
 
 use crate::content::{BundleContent, SignPolicy};
 use crate::{BundleError, Result};
@@ -8,37 +8,37 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Separates bundle signatures from any other use of the same keys.
+/// Prefix of the signed message, which separates bundle signatures from other uses of the same keys.
 const CONTEXT: &[u8] = b"oleandertack bundle sign-off v1\0";
 
-/// A bundle with its sign-offs.
+/// Bundle with its signatures.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedBundle {
-    /// What it says.
+    /// Signed content.
     pub content: BundleContent,
     /// Signatures (hex) by public key (hex).
     pub signatures: BTreeMap<CompactString, CompactString>,
 }
 
 /// Signs bundles with one operator's key.
-pub struct SigningDesk {
+pub struct BundleSigner {
     key: SigningKey,
 }
 
-impl SigningDesk {
-    /// A desk for a secret key of 64 hexadecimal digits.
-    pub fn from_hex(secret: &str) -> Option<SigningDesk> {
+impl BundleSigner {
+    /// Creates a signer from a secret key of 64 hexadecimal digits; `None` if it is malformed.
+    pub fn from_hex(secret: &str) -> Option<BundleSigner> {
         let bytes: [u8; 32] = hex::decode(secret.trim()).ok()?.try_into().ok()?;
-        Some(SigningDesk { key: SigningKey::from_bytes(&bytes) })
+        Some(BundleSigner { key: SigningKey::from_bytes(&bytes) })
     }
 
-    /// The public key in hex.
+    /// Returns the public key in hex.
     pub fn public_hex(&self) -> CompactString {
         hex::encode(self.key.verifying_key().as_bytes()).into()
     }
 
-    /// Adds this operator's sign-off to `bundle`.
+    /// Adds this operator's signature to `bundle`.
     pub fn sign(&self, bundle: &mut SignedBundle) {
         let message = signed_message(&bundle.content);
         let signature = self.key.sign(&message);
@@ -69,12 +69,12 @@
 }
 
 impl SignedBundle {
-    /// An unsigned bundle.
+    /// Creates a bundle without signatures.
     pub fn new(content: BundleContent) -> Self {
         SignedBundle { content, signatures: BTreeMap::new() }
     }
 
-    /// Reads a signed bundle.
+    /// Parses a signed bundle from JSON.
     ///
     /// # Errors
     /// [`ResultCode::BundleMalformed`] or [`ResultCode::BundleFormat`].
@@ -93,13 +93,13 @@
         Ok(SignedBundle { content, signatures: raw.signatures })
     }
 
-    /// Checks that enough operators of `policy` signed.
+    /// Checks that enough operators of `policy` signed the bundle.
     ///
-    /// The policy is the parent's, never the bundle's own: a bundle that named its own signers
-    /// could be made by anybody who can write to the store.
+    /// `policy` must be that of the parent and never the bundle's own. Otherwise anyone who can write
+    /// to the store could name the signers of a forged bundle.
     ///
     /// # Errors
-    /// [`ResultCode::BundleUnsigned`] telling how many signed.
+    /// [`ResultCode::BundleUnsigned`] with the number of valid signatures.
     pub fn check_signed(&self, policy: &SignPolicy) -> Result<()> {
         let message = signed_message(&self.content);
         let signed = policy
@@ -113,11 +113,11 @@
         if signed >= policy.quorum && policy.quorum > 0 {
             return Ok(());
         }
-        let detail = format!("{signed} of {} needed sign-offs are there", policy.quorum);
+        let detail = format!("{signed} of {} required signatures are present", policy.quorum);
         Err(BundleError::Refused(ResultCode::BundleUnsigned, detail))
     }
 
-    /// The bytes that are stored and passed on.
+    /// Returns the bytes that are stored and sent to peers.
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
--- a/crates/bundle/src/store.rs
+++ b/crates/bundle/src/store.rs
@@ -1,99 +1,101 @@
-//! How a bundle lies in the platform's store, and the steps that put it there.
+//! Layout of a bundle in the platform's store, and the steps that submit it.
 
 use crate::sign::SignedBundle;
 use compact_str::CompactString;
 use oleander_kind::ResultCode;
 use serde::{Deserialize, Serialize};
 
-/// The object that names the newest bundle. It is written last and only by compare-and-set.
+/// Name of the object that refers to the newest bundle. It is written last and only by compare-and-set.
 pub const HEAD_NAME: &str = "bundle/head";
 
-/// The most bytes of one part, below the platform's limit of a megabyte a value.
-pub const PART_BYTES: usize = 900_000;
+/// Maximum size of one part, below the platform's limit of one megabyte for a value.
+pub const MAX_PART_BYTES: usize = 900_000;
 
-/// What the head object says.
+/// Content of the head object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BundleHead {
-    /// The newest generation.
+    /// Newest generation.
     pub generation: u64,
-    /// Its content's digest.
+    /// Digest of its content.
     pub digest: CompactString,
-    /// The digest of its stored bytes, under which the parts lie.
+    /// Digest of its stored bytes, which is part of the names of the parts.
     pub stored: CompactString,
-    /// How many parts there are.
+    /// Number of parts.
     pub parts: u32,
-    /// Digests of the accepted bundles before it, the newest first; at most [`PAST_KEPT`].
+    /// Digests of the previously accepted bundles, newest first; at most [`MAX_PAST_DIGESTS`].
     #[serde(default)]
     pub past: Vec<CompactString>,
 }
 
-/// How many earlier digests a head names.
-pub const PAST_KEPT: usize = 32;
+/// Maximum number of earlier digests in the head.
+pub const MAX_PAST_DIGESTS: usize = 32;
 
-/// The name of part `index` of the stored bytes with digest `stored`.
+/// Returns the name of part `index` of the stored bytes with digest `stored`.
 pub fn part_name(stored: &str, index: u32) -> CompactString {
     format!("bundle/{stored}/{index}").into()
 }
 
 impl BundleHead {
-    /// The names of its parts, in order.
+    /// Returns the names of the parts, in order.
     pub fn part_names(&self) -> impl Iterator<Item = CompactString> + '_ {
         (0..self.parts).map(|index| part_name(&self.stored, index))
     }
 }
 
-/// One step of a submission: what to ask the store next, or how it ended.
+/// Step of a submission: the next call to the store, or the final result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitStep {
-    /// Create this part; a part that is there already is the same bytes by its name.
+    /// Create this part. An existing part has the same bytes, because its name holds their digest.
     PutPart {
-        /// The object's name.
+        /// Name of the object.
         name: CompactString,
-        /// Its bytes.
+        /// Content of the part.
         bytes: Vec<u8>,
     },
-    /// Read the head and its version.
+    /// Read the head object and its version.
     ReadHead,
     /// Replace the head if its version is still `version` (none: create it).
     SwapHead {
-        /// The version read.
+        /// Version that was read.
         version: Option<u64>,
-        /// The new head.
+        /// New head.
         head: BundleHead,
     },
-    /// The bundle is the accepted one.
+    /// The bundle was accepted.
     Accepted,
-    /// Another bundle came first, or the parent is not the head.
+    /// Another bundle was accepted first, or the parent is not the head.
     Conflict,
-    /// The store could not be asked; nothing is known to have changed.
+    /// A call to the store failed; no change is known to have been made.
     Failed(ResultCode),
 }
 
-/// What the store said to a step.
+/// The store's reply to a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreSaid {
+pub enum StoreReply {
     /// The write was made.
     Written,
-    /// The object was read: its version and head, or nothing is there.
+    /// The head was read, with its version; none if it does not exist.
     Head(Option<(u64, BundleHead)>),
-    /// The object's version was another.
+    /// The object had a different version.
     Changed,
-    /// The call was refused, or never reached the store.
+    /// The call was refused or was not sent.
     NotDone(ResultCode),
     /// The answer was lost: the write may or may not have been made.
     Unknown,
 }
 
-/// Submits one bundle. Two operators who race get one winner: the head is swapped only against the
-/// version whose digest the bundle names as its parent.
+/// Submission of one bundle, as a state machine without I/O.
+///
+/// If two operators submit concurrently, only one succeeds: the head is replaced only at the version
+/// whose digest the bundle names as its parent.
 #[derive(Clone, Debug)]
 pub struct SubmitTask {
     head: BundleHead,
     parent: CompactString,
     parts: Vec<Vec<u8>>,
     next_part: usize,
-    unknowns: u32,
+    lost_answers: u32,
     state: SubmitState,
 }
 
@@ -104,15 +106,15 @@
     Swapping,
 }
 
-/// How often one step is asked again after a lost answer.
-const MOST_UNKNOWNS: u32 = 20;
+/// Maximum number of lost answers in one submission. One more makes it fail.
+const MAX_LOST_ANSWERS: u32 = 20;
 
 impl SubmitTask {
-    /// A submission of `bundle`.
+    /// Creates a submission of `bundle`.
     pub fn new(bundle: &SignedBundle) -> Self {
         let bytes = bundle.to_bytes();
         let stored = hex::encode(oleander_kind::hash::digest_bytes(&bytes));
-        let parts: Vec<Vec<u8>> = bytes.chunks(PART_BYTES).map(<[u8]>::to_vec).collect();
+        let parts: Vec<Vec<u8>> = bytes.chunks(MAX_PART_BYTES).map(<[u8]>::to_vec).collect();
         let head = BundleHead {
             generation: bundle.content.generation,
             digest: bundle.content.digest(),
@@ -125,28 +127,28 @@
             parent: bundle.content.parent.clone(),
             parts,
             next_part: 0,
-            unknowns: 0,
+            lost_answers: 0,
             state: SubmitState::Parts,
         }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn begin(&mut self) -> SubmitStep {
         self.put_part_or_read()
     }
 
-    /// The step after the store said `said`.
-    pub fn advance(&mut self, said: StoreSaid) -> SubmitStep {
-        if said == StoreSaid::Unknown {
-            self.unknowns += 1;
-            if self.unknowns > MOST_UNKNOWNS {
+    /// Returns the step that follows the store's `reply`.
+    pub fn advance(&mut self, reply: StoreReply) -> SubmitStep {
+        if reply == StoreReply::Unknown {
+            self.lost_answers += 1;
+            if self.lost_answers > MAX_LOST_ANSWERS {
                 return SubmitStep::Failed(ResultCode::StoreUnknown);
             }
         }
         match self.state {
-            SubmitState::Parts => self.after_part(said),
-            SubmitState::Reading { swapped } => self.after_read(said, swapped),
-            SubmitState::Swapping => self.after_swap(said),
+            SubmitState::Parts => self.after_part(reply),
+            SubmitState::Reading { swapped } => self.after_read(reply, swapped),
+            SubmitState::Swapping => self.after_swap(reply),
         }
     }
 
@@ -163,25 +165,25 @@
         }
     }
 
-    fn after_part(&mut self, said: StoreSaid) -> SubmitStep {
-        match said {
-            StoreSaid::NotDone(code) => return SubmitStep::Failed(code),
-            // The name is the digest of the bytes, so a part that exists is the right one.
-            StoreSaid::Written | StoreSaid::Changed => self.next_part += 1,
-            StoreSaid::Unknown | StoreSaid::Head(_) => {}
+    fn after_part(&mut self, reply: StoreReply) -> SubmitStep {
+        match reply {
+            StoreReply::NotDone(code) => return SubmitStep::Failed(code),
+            // The name holds the digest of the bytes, so an existing part has the right content.
+            StoreReply::Written | StoreReply::Changed => self.next_part += 1,
+            StoreReply::Unknown | StoreReply::Head(_) => {}
         }
         self.put_part_or_read()
     }
 
-    fn after_read(&mut self, said: StoreSaid, swapped: bool) -> SubmitStep {
-        let found = match said {
-            StoreSaid::Head(found) => found,
-            StoreSaid::NotDone(code) if !swapped => return SubmitStep::Failed(code),
-            StoreSaid::NotDone(_) => return SubmitStep::Failed(ResultCode::StoreUnknown),
+    fn after_read(&mut self, reply: StoreReply, swapped: bool) -> SubmitStep {
+        let found = match reply {
+            StoreReply::Head(found) => found,
+            StoreReply::NotDone(code) if !swapped => return SubmitStep::Failed(code),
+            StoreReply::NotDone(_) => return SubmitStep::Failed(ResultCode::StoreUnknown),
             _ => return SubmitStep::ReadHead,
         };
-        // A lost answer to the swap is settled here: if the head is ours, the swap was made. By now
-        // another operator may have built on it; the head then names ours among those before it.
+        // Resolves a lost answer to the swap: if the head is this bundle, the swap succeeded. Another
+        // operator may have submitted a successor since; the head then lists this bundle in `past`.
         let ours = |head: &BundleHead| {
             head.digest == self.head.digest || head.past.contains(&self.head.digest)
         };
@@ -197,16 +199,16 @@
         let version = found.as_ref().map(|(version, _)| *version);
         if let Some((_, before)) = found {
             self.head.past = vec![before.digest];
-            self.head.past.extend(before.past.into_iter().take(PAST_KEPT - 1));
+            self.head.past.extend(before.past.into_iter().take(MAX_PAST_DIGESTS - 1));
         }
         SubmitStep::SwapHead { version, head: self.head.clone() }
     }
 
-    fn after_swap(&mut self, said: StoreSaid) -> SubmitStep {
-        match said {
-            StoreSaid::Written => SubmitStep::Accepted,
-            StoreSaid::NotDone(code) => SubmitStep::Failed(code),
-            StoreSaid::Changed | StoreSaid::Unknown | StoreSaid::Head(_) => {
+    fn after_swap(&mut self, reply: StoreReply) -> SubmitStep {
+        match reply {
+            StoreReply::Written => SubmitStep::Accepted,
+            StoreReply::NotDone(code) => SubmitStep::Failed(code),
+            StoreReply::Changed | StoreReply::Unknown | StoreReply::Head(_) => {
                 self.state = SubmitState::Reading { swapped: true };
                 SubmitStep::ReadHead
             }
--- a/crates/ctl/src/bundles.rs
+++ b/crates/ctl/src/bundles.rs
@@ -3,10 +3,10 @@
 use crate::Result;
 use crate::command::{CommandLine, CtlError};
 use crate::platform::{open_store, read_accepted, submit as submit_bundle};
-use oleander_bundle::content::FORMAT;
+use oleander_bundle::content::BUNDLE_FORMAT;
 use oleander_bundle::{
-    AccountEntry, BundleContent, ModelEntry, RouteEntry, ServiceEntry, SignPolicy, SignedBundle,
-    SigningDesk,
+    AccountEntry, BundleContent, BundleSigner, ModelEntry, RouteEntry, ServiceEntry, SignPolicy,
+    SignedBundle,
 };
 use oleander_kind::hash::digest_bytes;
 use oleander_kind::{AccountName, DomainName, ResultCode, ServiceName, VersionName};
@@ -49,7 +49,7 @@
     rand::rngs::OsRng.fill_bytes(&mut secret);
     let secret = hex::encode(secret);
     write_file(out, secret.as_bytes())?;
-    let desk = SigningDesk::from_hex(&secret);
+    let desk = BundleSigner::from_hex(&secret);
     let public = desk.map(|desk| desk.public_hex()).unwrap_or_default();
     Ok(format!("{public}\n"))
 }
@@ -80,7 +80,7 @@
         tokens_per_s: 200_000,
     };
     let content = BundleContent {
-        format: FORMAT,
+        format: BUNDLE_FORMAT,
         generation: 1,
         parent: "".into(),
         policy: SignPolicy { keys: BTreeMap::new(), quorum: 1 },
@@ -141,7 +141,7 @@
     let key = line.key.as_ref();
     let key = key.ok_or_else(|| CtlError::Usage("--key is needed".to_owned()))?;
     let secret = String::from_utf8_lossy(&read_file(key)?).into_owned();
-    let desk = SigningDesk::from_hex(&secret).ok_or_else(|| {
+    let desk = BundleSigner::from_hex(&secret).ok_or_else(|| {
         CtlError::Usage(format!("{} holds no key of 64 hexadecimal digits", key.display()))
     })?;
     let mut bundle = read_bundle(&path)?;
--- a/crates/ctl/src/platform.rs
+++ b/crates/ctl/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::Result;
 use crate::command::CtlError;
 use bytes::Bytes;
-use oleander_bundle::store::StoreSaid;
+use oleander_bundle::store::StoreReply;
 use oleander_bundle::{BundleHead, HEAD_NAME, SignedBundle, SubmitStep, SubmitTask};
 use oleander_kind::{ResultCode, TimeSpan};
 use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionCondition, read_parts};
@@ -65,24 +65,24 @@
     }
 }
 
-async fn read_head(store: &HttpStore) -> StoreSaid {
+async fn read_head(store: &HttpStore) -> StoreReply {
     match store.read(HEAD_NAME).await {
-        Ok(None) => StoreSaid::Head(None),
+        Ok(None) => StoreReply::Head(None),
         Ok(Some(object)) => match serde_json::from_slice(&object.bytes) {
-            Ok(head) => StoreSaid::Head(Some((object.version, head))),
-            Err(_) => StoreSaid::NotDone(ResultCode::BundleTorn),
+            Ok(head) => StoreReply::Head(Some((object.version, head))),
+            Err(_) => StoreReply::NotDone(ResultCode::BundleTorn),
         },
         // Reading again does no harm, however the first read ended.
-        Err(PlatError::OutcomeUnknown(_)) => StoreSaid::Unknown,
-        Err(fault) => StoreSaid::NotDone(fault.code()),
+        Err(PlatError::OutcomeUnknown(_)) => StoreReply::Unknown,
+        Err(fault) => StoreReply::NotDone(fault.code()),
     }
 }
 
-fn said_of(written: oleander_plat::Result<u64>) -> StoreSaid {
+fn said_of(written: oleander_plat::Result<u64>) -> StoreReply {
     match written {
-        Ok(_) => StoreSaid::Written,
-        Err(PlatError::OutcomeUnknown(_)) => StoreSaid::Unknown,
-        Err(fault) if fault.code() == ResultCode::StoreConflict => StoreSaid::Changed,
-        Err(fault) => StoreSaid::NotDone(fault.code()),
+        Ok(_) => StoreReply::Written,
+        Err(PlatError::OutcomeUnknown(_)) => StoreReply::Unknown,
+        Err(fault) if fault.code() == ResultCode::StoreConflict => StoreReply::Changed,
+        Err(fault) => StoreReply::NotDone(fault.code()),
     }
 }
--- a/crates/edge/src/spread.rs
+++ b/crates/edge/src/spread.rs
@@ -5,7 +5,7 @@
 use crate::peers::{is_relay, news_targets};
 use bytes::Bytes;
 use compact_str::CompactString;
-use oleander_bundle::{ApplyVerdict, BundleHead, HEAD_NAME, SignedBundle};
+use oleander_bundle::{ApplyOutcome, BundleHead, HEAD_NAME, SignedBundle};
 use oleander_kind::TimeSpan;
 use oleander_plat::{ObjectStore, WatchAnswer, read_parts};
 use oleander_wire::PeerBody;
@@ -73,8 +73,8 @@
         gate.offer(bundle)
     });
     match offered {
-        Ok(ApplyVerdict::Same) => note_newest(node),
-        Ok(ApplyVerdict::Applied) => apply(node),
+        Ok(ApplyOutcome::Same) => note_newest(node),
+        Ok(ApplyOutcome::Applied) => apply(node),
         Err(fault) => {
             slog::warn!(node.log, "a bundle was refused";
                 "code" => fault.code().number(), "detail" => fault.to_string());
--- a/crates/explore/src/submits.rs
+++ b/crates/explore/src/submits.rs
@@ -1,7 +1,7 @@
 //! Submissions: operators who race for the head, one of them building on another's bundle.
 
 use crate::search::SearchModel;
-use oleander_bundle::store::StoreSaid;
+use oleander_bundle::store::StoreReply;
 use oleander_bundle::{
     BundleContent, BundleHead, SignPolicy, SignedBundle, SubmitStep, SubmitTask,
 };
@@ -74,23 +74,23 @@
 }
 
 impl SubmitModel {
-    fn swap(&self, state: &mut SubmitState, version: Option<u64>, head: BundleHead) -> StoreSaid {
+    fn swap(&self, state: &mut SubmitState, version: Option<u64>, head: BundleHead) -> StoreReply {
         let current = state.head.as_ref().map(|(version, _)| *version);
         if current != version && self.bug != SubmitBug::NoFence {
-            return StoreSaid::Changed;
+            return StoreReply::Changed;
         }
         state.next_version += 1;
         state.accepted_history.push(head.digest.to_string());
         state.head = Some((state.next_version, head));
-        StoreSaid::Written
+        StoreReply::Written
     }
 
-    fn execute(&self, state: &mut SubmitState, step: SubmitStep) -> StoreSaid {
+    fn execute(&self, state: &mut SubmitState, step: SubmitStep) -> StoreReply {
         match step {
-            SubmitStep::PutPart { .. } => StoreSaid::Written,
-            SubmitStep::ReadHead => StoreSaid::Head(state.head.clone()),
+            SubmitStep::PutPart { .. } => StoreReply::Written,
+            SubmitStep::ReadHead => StoreReply::Head(state.head.clone()),
             SubmitStep::SwapHead { version, head } => self.swap(state, version, head),
-            _ => StoreSaid::NotDone(ResultCode::StoreRefused),
+            _ => StoreReply::NotDone(ResultCode::StoreRefused),
         }
     }
 }
@@ -174,11 +174,11 @@
                     return next;
                 };
                 self.execute(&mut next, call);
-                (at, StoreSaid::Unknown)
+                (at, StoreReply::Unknown)
             }
             OperatorStep::Refuse(at) => {
                 next.faults += 1;
-                (at, StoreSaid::NotDone(ResultCode::StoreRefused))
+                (at, StoreReply::NotDone(ResultCode::StoreRefused))
             }
             OperatorStep::Delay(at) => {
                 next.faults += 1;
@@ -186,7 +186,7 @@
                 {
                     next.late.push((version, head));
                 }
-                (at, StoreSaid::Unknown)
+                (at, StoreReply::Unknown)
             }
         };
         let step = next.operators[at].task.advance(said);
--- a/crates/rig/src/cluster.rs
+++ b/crates/rig/src/cluster.rs
@@ -1,10 +1,10 @@
 //! The cluster.
 
 use compact_str::CompactString;
-use oleander_bundle::content::FORMAT;
+use oleander_bundle::content::BUNDLE_FORMAT;
 use oleander_bundle::{
-    AccountEntry, BundleContent, ModelEntry, RouteEntry, ServiceEntry, SignPolicy, SignedBundle,
-    SigningDesk,
+    AccountEntry, BundleContent, BundleSigner, ModelEntry, RouteEntry, ServiceEntry, SignPolicy,
+    SignedBundle,
 };
 use oleander_conf::{EntrySettings, EntryTimes, PeerSetting, RequestBounds};
 use oleander_ctl::platform::{open_store, submit};
@@ -300,8 +300,8 @@
 }
 
 /// The operator of rigs.
-pub fn operator() -> SigningDesk {
-    SigningDesk::from_hex(OPERATOR_SECRET).unwrap_or_else(|| unreachable!("the key is a constant"))
+pub fn operator() -> BundleSigner {
+    BundleSigner::from_hex(OPERATOR_SECRET).unwrap_or_else(|| unreachable!("the key is a constant"))
 }
 
 /// The bundle of a rig.
@@ -340,7 +340,7 @@
     };
     let keys = BTreeMap::from([(CompactString::from("operator"), operator().public_hex())]);
     let mut bundle = SignedBundle::new(BundleContent {
-        format: FORMAT,
+        format: BUNDLE_FORMAT,
         generation,
         parent: parent.into(),
         policy: SignPolicy { keys, quorum: 1 },
--- a/tests/all/bundle.rs
+++ b/tests/all/bundle.rs
@@ -1,6 +1,6 @@
-//! Which bundles a process takes into force.
+//! Tests of which bundles a process applies.
 
-use oleandertack::bundle::{ApplyVerdict, BundleGate, SignPolicy, SignedBundle, SigningDesk};
+use oleandertack::bundle::{ApplyOutcome, BundleGate, BundleSigner, SignPolicy, SignedBundle};
 use oleandertack::kind::ResultCode;
 use oleandertack::rig::cluster::{operator, rig_bundle};
 use std::collections::BTreeMap;
@@ -14,8 +14,8 @@
     rig_bundle(of.content.generation + 1, &of.content.digest())
 }
 
-fn stranger() -> SigningDesk {
-    SigningDesk::from_hex(&"17".repeat(32)).expect("a key")
+fn stranger() -> BundleSigner {
+    BundleSigner::from_hex(&"17".repeat(32)).expect("a key")
 }
 
 fn refusal(gate: &mut BundleGate, bundle: SignedBundle) -> ResultCode {
@@ -23,21 +23,21 @@
 }
 
 #[test]
-fn a_signed_successor_is_taken_and_the_same_again_changes_nothing() {
+fn a_signed_successor_is_applied_and_a_repeat_changes_nothing() {
     let mut gate = gate();
     let first = rig_bundle(1, "");
     let second = successor(&first);
 
-    assert_eq!(gate.offer(first), Ok(ApplyVerdict::Applied));
-    assert_eq!(gate.offer(second.clone()), Ok(ApplyVerdict::Applied));
-    assert_eq!(gate.offer(second), Ok(ApplyVerdict::Same));
+    assert_eq!(gate.offer(first), Ok(ApplyOutcome::Applied));
+    assert_eq!(gate.offer(second.clone()), Ok(ApplyOutcome::Applied));
+    assert_eq!(gate.offer(second), Ok(ApplyOutcome::Same));
     assert_eq!(gate.generation(), 2);
 }
 
 #[test]
-fn a_restored_store_does_not_take_a_process_back() {
-    // Operators' newest bundle stays in force. The platform's store is restored from a backup, and
-    // every read and older peer shows the bundle before.
+fn a_restored_store_does_not_roll_back_the_bundle() {
+    // Guards against going back to an older bundle when the store is restored from a backup and reads
+    // and lagging peers return the previous one.
     let mut gate = gate();
     let first = rig_bundle(1, "");
     gate.offer(first.clone()).expect("the first");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn unsigned_foreign_and_altered_bundles_are_refused_whole() {
+fn unsigned_foreign_and_altered_bundles_are_refused() {
     let mut gate = gate();
     let mut unsigned = rig_bundle(1, "");
     unsigned.signatures.clear();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_rival_of_the_bundle_in_force_is_a_conflict() {
+fn a_successor_with_another_parent_is_a_conflict() {
     let mut gate = gate();
     let first = rig_bundle(1, "");
     gate.offer(first.clone()).expect("the first");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_half_written_or_too_new_bundle_is_refused_with_its_number() {
+fn a_truncated_or_too_new_bundle_is_refused_with_its_result_code() {
     let bytes = rig_bundle(1, "").to_bytes();
     let half = SignedBundle::parse(&bytes[..bytes.len() / 2]).expect_err("half");
     let newer = String::from_utf8_lossy(&bytes).replace("\"format\":1", "\"format\":9");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn every_fault_names_its_field() {
+fn every_violation_names_its_field() {
     let mut content = rig_bundle(1, "").content;
     content.policy.quorum = 7;
     let service = content.services.values_mut().next().expect("a service");
