--- a/crates/ctl/src/platform.rs
+++ b/crates/ctl/src/platform.rs
@@ -3,10 +3,10 @@
 use crate::Result;
 use crate::command::CtlError;
 use bytes::Bytes;
-use oleander_bundle::store::StoreSaid;
+use oleander_bundle::store::StoreReply;
 use oleander_bundle::{BundleHead, HEAD_NAME, SignedBundle, SubmitStep, SubmitTask};
 use oleander_kind::{ResultCode, TimeSpan};
-use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionGuard, read_joined};
+use oleander_plat::{HttpStore, ObjectStore, PlatError, VersionCondition, read_parts};
 
 /// The longest wait for one call.
 const CALL_LIMIT: TimeSpan = TimeSpan(5000);
@@ -25,7 +25,7 @@
         return Ok(None);
     };
     let head: BundleHead = serde_json::from_slice(&object.bytes).map_err(torn)?;
-    let Some(bytes) = read_joined(store, head.part_names()).await? else {
+    let Some(bytes) = read_parts(store, head.part_names()).await? else {
         return Err(torn("a part is missing"));
     };
     Ok(Some(SignedBundle::parse(&bytes)?))
@@ -53,11 +53,11 @@
                 return Err(CtlError::Coded(code, "the bundle is not accepted".to_owned()));
             }
             SubmitStep::PutPart { name, bytes } => {
-                said_of(store.write(&name, VersionGuard::Absent, Bytes::from(bytes)).await)
+                said_of(store.write(&name, VersionCondition::Absent, Bytes::from(bytes)).await)
             }
             SubmitStep::SwapHead { version, head } => {
                 let bytes = Bytes::from(serde_json::to_vec(&head).unwrap_or_default());
-                said_of(store.write(HEAD_NAME, VersionGuard::of(version), bytes).await)
+                said_of(store.write(HEAD_NAME, VersionCondition::of(version), bytes).await)
             }
             SubmitStep::ReadHead => read_head(store).await,
         };
@@ -65,24 +65,24 @@
     }
 }
 
-async fn read_head(store: &HttpStore) -> StoreSaid {
+async fn read_head(store: &HttpStore) -> StoreReply {
     match store.read(HEAD_NAME).await {
-        Ok(None) => StoreSaid::Head(None),
+        Ok(None) => StoreReply::Head(None),
         Ok(Some(object)) => match serde_json::from_slice(&object.bytes) {
-            Ok(head) => StoreSaid::Head(Some((object.version, head))),
-            Err(_) => StoreSaid::NotDone(ResultCode::BundleTorn),
+            Ok(head) => StoreReply::Head(Some((object.version, head))),
+            Err(_) => StoreReply::NotDone(ResultCode::BundleTorn),
         },
         // Reading again does no harm, however the first read ended.
-        Err(PlatError::OutcomeUnknown(_)) => StoreSaid::Unknown,
-        Err(fault) => StoreSaid::NotDone(fault.code()),
+        Err(PlatError::OutcomeUnknown(_)) => StoreReply::Unknown,
+        Err(fault) => StoreReply::NotDone(fault.code()),
     }
 }
 
-fn said_of(written: oleander_plat::Result<u64>) -> StoreSaid {
+fn said_of(written: oleander_plat::Result<u64>) -> StoreReply {
     match written {
-        Ok(_) => StoreSaid::Written,
-        Err(PlatError::OutcomeUnknown(_)) => StoreSaid::Unknown,
-        Err(fault) if fault.code() == ResultCode::StoreConflict => StoreSaid::Changed,
-        Err(fault) => StoreSaid::NotDone(fault.code()),
+        Ok(_) => StoreReply::Written,
+        Err(PlatError::OutcomeUnknown(_)) => StoreReply::Unknown,
+        Err(fault) if fault.code() == ResultCode::StoreConflict => StoreReply::Changed,
+        Err(fault) => StoreReply::NotDone(fault.code()),
     }
 }
--- a/crates/edge/src/node.rs
+++ b/crates/edge/src/node.rs
@@ -16,8 +16,8 @@
 use oleander_list::ListReplica;
 use oleander_member::{MemberRecord, MemberSettings, MemberStage, MemberTable};
 use oleander_plat::HttpStore;
-use oleander_route::{HealthSettings, RouteController, RoutePolicy, RouteSettings};
-use oleander_wire::{CallPeer, PeerBody, PeerHub, TrafficCount};
+use oleander_route::{EndpointSelector, HealthSettings, RoutePolicy, RouteSettings};
+use oleander_wire::{CallPeer, PeerBody, PeerHub, TrafficCounters};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -49,7 +49,7 @@
     /// Lets bundles in.
     pub gate: RefCell<BundleGate>,
     /// Chooses endpoints.
-    pub router: RefCell<RouteController>,
+    pub router: RefCell<EndpointSelector>,
     /// When endpoints count as sick.
     pub health: HealthSettings,
     /// Counts against limits.
@@ -67,7 +67,7 @@
     /// Links to peers.
     pub hub: Addr<PeerHub>,
     /// Bytes to and from peers.
-    pub traffic: Rc<TrafficCount>,
+    pub traffic: Rc<TrafficCounters>,
     /// Claims.
     pub claims: Addr<ClaimDesk>,
     /// The object API.
@@ -92,7 +92,7 @@
         let clock = NodeClock::default();
         let times = settings.times.clone();
         let store = HttpStore::new(&settings.platform, TimeSpan(times.platform_ms));
-        let traffic = Rc::new(TrafficCount::default());
+        let traffic = Rc::new(TrafficCounters::default());
         let hub = actix::Actor::start(PeerHub::new(traffic.clone()));
         let me = MemberRecord {
             id: settings.instance.clone(),
@@ -102,7 +102,7 @@
             stage: MemberStage::Alive,
         };
         let claims = ClaimDesk::start(&settings, store.clone(), clock);
-        let router = RouteController::new(
+        let router = EndpointSelector::new(
             settings.domain.clone(),
             RoutePolicy::Cost,
             RouteSettings::default(),
--- a/crates/edge/src/spread.rs
+++ b/crates/edge/src/spread.rs
@@ -5,9 +5,9 @@
 use crate::peers::{is_relay, news_targets};
 use bytes::Bytes;
 use compact_str::CompactString;
-use oleander_bundle::{ApplyVerdict, BundleHead, HEAD_NAME, SignedBundle};
+use oleander_bundle::{ApplyOutcome, BundleHead, HEAD_NAME, SignedBundle};
 use oleander_kind::TimeSpan;
-use oleander_plat::{ObjectStore, WatchAnswer, read_joined};
+use oleander_plat::{ObjectStore, WatchAnswer, read_parts};
 use oleander_wire::PeerBody;
 use std::rc::Rc;
 
@@ -61,7 +61,7 @@
         note_newest(node);
         return true;
     }
-    let Ok(Some(bytes)) = read_joined(&node.store, head.part_names()).await else { return false };
+    let Ok(Some(bytes)) = read_parts(&node.store, head.part_names()).await else { return false };
     offer(node, &bytes);
     true
 }
@@ -73,8 +73,8 @@
         gate.offer(bundle)
     });
     match offered {
-        Ok(ApplyVerdict::Same) => note_newest(node),
-        Ok(ApplyVerdict::Applied) => apply(node),
+        Ok(ApplyOutcome::Same) => note_newest(node),
+        Ok(ApplyOutcome::Applied) => apply(node),
         Err(fault) => {
             slog::warn!(node.log, "a bundle was refused";
                 "code" => fault.code().number(), "detail" => fault.to_string());
--- a/crates/flow/src/life.rs
+++ b/crates/flow/src/life.rs
@@ -136,7 +136,7 @@
     /// for a batch code that is already printed.
     fn end_state(&self, code: ResultCode) -> EndState {
         let untouched = !self.facts.may_have_left && !self.facts.may_have_run;
-        match (code.says_not_run(), untouched) {
+        match (code.guarantees_not_run(), untouched) {
             (true, true) => EndState::Refused(code),
             (true, false) if code == ResultCode::DeadlineNotRun => {
                 EndState::Uncertain(ResultCode::DeadlinePassed)
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -12,7 +12,7 @@
 use oleander_lease::{LeaseAction, LeaseManager, LeaseRecord, LeaseReply};
 use oleander_mesh::{LeaseNotice, MeshCollector};
 use oleander_plat::{
-    DutyPermit, DutyPort, DutyStamp, FeedGuard, FeedKind, FeedObject, FeedWrite, PlatError,
+    DutyPermit, DutyPort, DutyStamp, FeedCondition, FeedKind, FeedObject, PlatError, WriteOutcome,
 };
 use orders::scale_services;
 use serde::Serialize;
@@ -179,15 +179,15 @@
 
 fn note_call_failure(node: &FrontNode, fault: &PlatError) -> LeaseReply {
     event!(node, LeaseFault; "fault" => fault.to_string());
-    if fault.may_have_happened() { LeaseReply::Unknown } else { LeaseReply::NotDone }
+    if fault.may_have_taken_effect() { LeaseReply::Unknown } else { LeaseReply::NotDone }
 }
 
 async fn write_lease(node: &FrontNode, version: Option<u64>, record: &LeaseRecord) -> LeaseReply {
     let Some(body) = encode(node, record) else { return LeaseReply::NotDone };
-    let guard = version.map_or(FeedGuard::Absent, FeedGuard::Is);
+    let guard = version.map_or(FeedCondition::Absent, FeedCondition::Is);
     match node.store.write(FeedKind::Leases, LEASE_NAME, guard, body).await {
-        Ok(FeedWrite::Made(revision)) => LeaseReply::Written(revision),
-        Ok(FeedWrite::Refused(_)) => {
+        Ok(WriteOutcome::Made(revision)) => LeaseReply::Written(revision),
+        Ok(WriteOutcome::Refused(_)) => {
             event!(node, LeaseFault; "fault" => "another wrote it meanwhile");
             LeaseReply::Changed
         }
--- a/crates/front/src/feeds.rs
+++ b/crates/front/src/feeds.rs
@@ -8,7 +8,7 @@
 use crate::rules::apply_rules;
 use oleander_kind::{ClockTime, TimeSpan};
 use oleander_list::freshness::latest_answer_time;
-use oleander_plat::{FeedAnswer, FeedEvent, FeedKind, FeedPage, PlatError};
+use oleander_plat::{FeedEvent, FeedKind, FeedPage, PlatError, WatchOutcome};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -93,7 +93,7 @@
                     from = None;
                     None
                 }
-                Some(Ok(FeedAnswer::Changes(events, as_of))) => {
+                Some(Ok(WatchOutcome::Changes(events, as_of))) => {
                     from = Some(as_of);
                     update_feed_state(node, kind, state, None);
                     let batches = kind == FeedKind::Endpoints && !events.is_empty();
@@ -104,7 +104,7 @@
                     }
                     None
                 }
-                Some(Ok(FeedAnswer::HistoryLost)) => {
+                Some(Ok(WatchOutcome::HistoryLost)) => {
                     from = None;
                     None
                 }
@@ -144,12 +144,12 @@
     kind: FeedKind,
     from: u64,
     wait: TimeSpan,
-) -> Option<oleander_plat::Result<FeedAnswer>> {
+) -> Option<oleander_plat::Result<WatchOutcome>> {
     tokio::select! {
         biased;
         answer = node.store.watch(kind, from, wait) => Some(answer),
         () = until_stale(node, kind) => {
-            node.store.renew_links();
+            node.store.reset_connections();
             None
         }
     }
@@ -170,7 +170,7 @@
         let pause = left.map_or(STANDBY_PERIOD, |left| left.min(STANDBY_PERIOD));
         actix_rt::time::sleep(pause.duration()).await;
     }
-    node.store.renew_links();
+    node.store.reset_connections();
 }
 
 fn update_feed_state(
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -27,7 +27,7 @@
 };
 use oleander_plat::FeedStore;
 use oleander_suspect::{CrashMonitor, SuspectTracker};
-use oleander_wire::{PeerHub, TrafficCount};
+use oleander_wire::{PeerHub, TrafficCounters};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
     /// When the ledger may be asked again after it did not answer.
     pub ledger_retry_at: Cell<ClockTime>,
     /// The bytes and frames on the connections to the other processes.
-    pub traffic: Rc<TrafficCount>,
+    pub traffic: Rc<TrafficCounters>,
     /// The connections to the other processes.
     pub peers: OnceCell<Addr<PeerHub<MeshBody>>>,
     /// What was logged about account limits.
--- a/crates/pace/src/lib.rs
+++ b/crates/pace/src/lib.rs
@@ -121,7 +121,7 @@
     }
 
     fn decay(&mut self, now: ClockTime) {
-        let factor = (now - self.decayed_at).part_left(HALF_LIFE);
+        let factor = (now - self.decayed_at).decay_factor(HALF_LIFE);
         self.weights.iter_mut().for_each(|weight| *weight *= factor);
         self.decayed_at = now;
     }
--- a/tests/all/flow.rs
+++ b/tests/all/flow.rs
@@ -33,7 +33,7 @@
     let refused = flow.admit(LATE).expect_err("past its deadline");
 
     assert_eq!(refused, ResultCode::DeadlineNotRun);
-    assert!(refused.says_not_run());
+    assert!(refused.guarantees_not_run());
 }
 
 #[test]
@@ -206,11 +206,14 @@
 fn judge(end_state: EndState, ran: bool, end_states: &mut u32) {
     *end_states += 1;
     if let EndState::Refused(code) = end_state {
-        assert!(code.says_not_run());
+        assert!(code.guarantees_not_run());
         assert!(!ran, "{code} was reported for a request that may have run");
     }
     if let EndState::Uncertain(code) = end_state {
-        assert!(!code.says_not_run(), "{code} says not run although the request may have run");
+        assert!(
+            !code.guarantees_not_run(),
+            "{code} says not run although the request may have run"
+        );
     }
 }
 
--- a/tests/all/plays.rs
+++ b/tests/all/plays.rs
@@ -12,10 +12,10 @@
 use oleandertack::front::{FrontPorts, FrontProcess, start_front};
 use oleandertack::kind::{ResultCode, TimeSpan};
 use oleandertack::plat::{
-    DutyAnswer, DutyPermit, DutyPort, FeedAnswer, FeedEvent, FeedGuard, FeedKind, FeedObject,
-    FeedPage, FeedStore, FeedWrite, PlatError, Result, ScaleOrder, UsageReport,
+    DutyAnswer, DutyPermit, DutyPort, FeedCondition, FeedEvent, FeedKind, FeedObject, FeedPage,
+    FeedStore, PlatError, Result, ScaleOrder, UsageReport, WatchOutcome, WriteOutcome,
 };
-use oleandertack::platform::ObjectsDialect;
+use oleandertack::platform::HttpDialect;
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -160,11 +160,11 @@
         kind: FeedKind,
         from: u64,
         wait: TimeSpan,
-    ) -> LocalBoxFuture<'_, Result<FeedAnswer>> {
+    ) -> LocalBoxFuture<'_, Result<WatchOutcome>> {
         let answer = move |over: bool| {
             let changes = self.state.changes(kind, from);
             let as_of = self.state.revision.get();
-            (over || !changes.is_empty()).then_some(FeedAnswer::Changes(changes, as_of))
+            (over || !changes.is_empty()).then_some(WatchOutcome::Changes(changes, as_of))
         };
         self.call(wait, answer).boxed_local()
     }
@@ -175,17 +175,17 @@
         name: &'a str,
         revision: u64,
         status: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>> {
         async move {
             self.call(TimeSpan(0), |_| Some(())).await?;
             let known = self.state.page(kind).objects.into_iter().find(|o| o.name == name);
             let Some(known) = known.filter(|known| known.revision == revision) else {
-                return Ok(FeedWrite::Refused(None));
+                return Ok(WriteOutcome::Refused(None));
             };
             let text = String::from_utf8_lossy(&known.body).into_owned();
             let spec = text.split(r#","status":"#).next().unwrap_or_default().to_owned();
             let body = format!(r#"{spec},"status":{}}}"#, String::from_utf8_lossy(&status));
-            Ok(FeedWrite::Made(self.state.put(kind, name, Bytes::from(body))))
+            Ok(WriteOutcome::Made(self.state.put(kind, name, Bytes::from(body))))
         }
         .boxed_local()
     }
@@ -204,20 +204,22 @@
         &'a self,
         kind: FeedKind,
         name: &'a str,
-        guard: FeedGuard,
+        guard: FeedCondition,
         body: Bytes,
-    ) -> LocalBoxFuture<'a, Result<FeedWrite>> {
+    ) -> LocalBoxFuture<'a, Result<WriteOutcome>> {
         async move {
             self.call(TimeSpan(0), |_| Some(())).await?;
             let known = self.state.page(kind).objects.into_iter().find(|o| o.name == name);
             let holds = match guard {
-                FeedGuard::Absent => known.is_none(),
-                FeedGuard::Is(revision) => known.as_ref().is_some_and(|o| o.revision == revision),
+                FeedCondition::Absent => known.is_none(),
+                FeedCondition::Is(revision) => {
+                    known.as_ref().is_some_and(|o| o.revision == revision)
+                }
             };
             if !holds {
-                return Ok(FeedWrite::Refused(known));
+                return Ok(WriteOutcome::Refused(known));
             }
-            Ok(FeedWrite::Made(self.state.put(kind, name, body)))
+            Ok(WriteOutcome::Made(self.state.put(kind, name, body)))
         }
         .boxed_local()
     }
@@ -375,9 +377,9 @@
         let settings = settings(format!("front-{at}"), self.peers[at], seeds);
         let settings = FrontSettings { bounds: self.bounds.clone(), ..settings };
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let clock = NodeClock::of_runtime();
+        let clock = NodeClock::from_runtime();
         let ports = FrontPorts { store: Box::new(store), cloud: self.cloud.clone(), clock };
-        let process = start_front(settings, log, Box::new(ObjectsDialect), ports, None);
+        let process = start_front(settings, log, Box::new(HttpDialect), ports, None);
         (process.await.expect("it listens"), link)
     }
 
