--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -87,9 +87,9 @@
     })
 }
 
-fn dump_sizes(account: &PartSizes) -> Value {
+fn dump_sizes(sizes: &PartSizes) -> Value {
     let part = |(name, bytes): &(&str, usize)| ((*name).to_owned(), json!(bytes));
-    Value::Object(account.iter().map(part).collect())
+    Value::Object(sizes.iter().map(part).collect())
 }
 
 /// The most endpoints and members in a dump.
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -110,6 +110,7 @@
         suspects::note_broken(self.node, self.fingerprint, broken);
     }
 
+    /// How long the first part of the answer is expected to take.
     fn expected_wait(&self, choice: &PlacementChoice) -> AnswerWait {
         let read_per_ms = self.node.read_per_ms(&self.service);
         let expected = expected_first_byte(choice, self.is_engine(), read_per_ms);
@@ -121,11 +122,11 @@
     pub(crate) fn note_demand(&self, unread: u64) {
         let first = self.record.sent() == 0;
         let answer = self.call.tokens.map_or(0, |tokens| tokens.answer);
-        let guess = self.call.length_hint.unwrap_or(answer).min(answer.max(1));
+        let expected_answer = self.call.length_hint.unwrap_or(answer).min(answer.max(1));
         self.node.note_demand(&self.service, |demand| {
             demand.requests += u64::from(first);
             demand.unread_tokens += unread;
-            demand.answer_tokens += guess;
+            demand.answer_tokens += expected_answer;
         });
     }
 
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Records the engine's prefill speed when the first event arrives.
+    /// Records a sample of the engine's prefill speed: the time until the first event arrived.
     pub fn note_read(&self) {
         let (Some(choice), Some(sent_at)) = (self.chosen, self.sent_at) else { return };
         if choice.held == 0 && self.call.parts.len() > 1 {
@@ -346,7 +347,7 @@
             self.note_failure(target, work, AnswerGrade::Bad);
             return AttemptOutcome::Ended(AttemptEnd::Broken, None);
         }
-        let asks_for_rest = matches!(mark.backoff, EndpointSignal::Present(_));
+        let signals_backoff = matches!(mark.backoff, EndpointSignal::Present(_));
         let body = sent.into_body(&head);
         let (outcome, link) = if events {
             stream::forward_events(self, body, head, work).await
@@ -360,7 +361,7 @@
             }
             AttemptOutcome::CallerGone => {}
             // The endpoint is healthy; it has signalled a backoff and says when it accepts requests again.
-            AttemptOutcome::Ended(AttemptEnd::RefusedNotRun, _) if asks_for_rest => {
+            AttemptOutcome::Ended(AttemptEnd::RefusedNotRun, _) if signals_backoff => {
                 self.tried.push(target.key);
             }
             AttemptOutcome::Ended(..) => {
@@ -378,12 +379,13 @@
         outcome
     }
 
-    /// Records a failure of the endpoint locally and in the evidence that is shared with other processes.
+    /// Counts a failure in the health of the endpoint at this process, and in the evidence for the collector.
     fn note_failure(&self, target: &AttemptTarget, work: &mut WorkGuard, grade: AnswerGrade) {
         self.grade(target.key, grade);
         work.note_failed();
     }
 
+    /// Counts a failed connection or exchange, and logs it.
     fn note_fault(&self, target: &AttemptTarget, work: &mut WorkGuard, fault: &LinkError) {
         let grade = match fault {
             LinkError::ConnectFailed(_) | LinkError::TimedOut(_) => AnswerGrade::Dead,
@@ -398,6 +400,7 @@
             "fault" => fault.to_string());
     }
 
+    /// Updates the health of an endpoint, as this process sees it, by the result of an attempt.
     pub(crate) fn grade(&self, key: EndpointKey, grade: AnswerGrade) {
         let now = self.node.clock.now();
         if let Some(fact) = self.node.endpoints.borrow_mut().get_mut(key) {
--- a/crates/front/src/closed.rs
+++ b/crates/front/src/closed.rs
@@ -19,9 +19,9 @@
 impl CallContext<'_, '_> {
     /// Refuses a request for which no endpoint can be chosen.
     pub(crate) async fn refuse_unplaced(&mut self) -> CallOutcome {
-        match self.reopens_in() {
+        match self.available_again_in() {
             Some(retry_in) if self.may_refuse() => {
-                self.log_closed(retry_in);
+                self.log_unavailable(retry_in);
                 if self.record.sent() == 0 {
                     self.note_demand(self.call.tokens.unwrap_or_default().prompt);
                 }
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Logs how many endpoints are excluded, by reason.
-    fn log_closed(&self, retry_in: TimeSpan) {
+    /// Logs for how many endpoints each of the reasons holds that exclude one.
+    fn log_unavailable(&self, retry_in: TimeSpan) {
         let now = self.node.clock.lease_now();
         let board = self.node.endpoints.borrow();
         let keys = board.of_service(&self.service).iter();
@@ -67,8 +67,8 @@
 
     /// Time until an endpoint accepts the request, if only signals of the endpoints exclude it now. A
     /// jitter by request keeps callers that are refused together from retrying together.
-    fn reopens_in(&self) -> Option<TimeSpan> {
-        let wait = available_in(&self.node.endpoints.borrow(), &self.place_ask())?;
+    fn available_again_in(&self) -> Option<TimeSpan> {
+        let wait = available_in(&self.node.endpoints.borrow(), &self.placement_request())?;
         let wait = wait.max(MIN_RETRY_AFTER);
         Some(wait + TimeSpan(call_salt(&self.call) % wait.0))
     }
--- a/crates/front/src/discover.rs
+++ b/crates/front/src/discover.rs
@@ -1,8 +1,8 @@
 //! Finds the other processes through the store.
 //!
 //! Settings name a few peers at most, and all of them may be gone. Each process therefore writes
-//! its member card to the store when it starts, and reads those of the others. Cards are not
-//! updated afterwards: reports show which processes are alive.
+//! its membership record to the store when it starts, and reads those of the others. Records are
+//! not updated afterwards: reports show which processes are alive.
 
 use crate::events::event;
 use crate::node::FrontNode;
@@ -17,19 +17,19 @@
 const MIN_RETRY_DELAY: TimeSpan = TimeSpan(200);
 /// The longest retry delay.
 const MAX_RETRY_DELAY: TimeSpan = TimeSpan(3000);
-/// Interval between removals of cards whose process is gone.
+/// Interval between removals of membership records whose process is gone.
 const SWEEP_PERIOD: TimeSpan = TimeSpan::secs(60);
 
-/// Registers this process, reads the cards of the others, and, while it is the collector, removes
-/// the cards of processes that are gone, until the task is aborted.
+/// Registers this process, reads the records of the others, and, while it is the collector, removes
+/// the records of processes that are gone, until the task is aborted.
 pub async fn run_discovery(node: Rc<FrontNode>) {
-    retry_until_done(&node, || write_card(&node)).await;
-    retry_until_done(&node, || read_cards(&node)).await;
+    retry_until_done(&node, || write_record(&node)).await;
+    retry_until_done(&node, || read_records(&node)).await;
     let mut missing = BTreeSet::new();
     loop {
         actix_rt::time::sleep(SWEEP_PERIOD.duration()).await;
         if node.mesh.borrow().view.collects() {
-            sweep_cards(&node, &mut missing).await;
+            sweep_records(&node, &mut missing).await;
         }
     }
 }
@@ -45,7 +45,7 @@
     }
 }
 
-async fn write_card(node: &FrontNode) -> oleander_plat::Result<()> {
+async fn write_record(node: &FrontNode) -> oleander_plat::Result<()> {
     let member = node.mesh.borrow().view.me().clone();
     let unwritable = |fault: serde_json::Error| PlatError::NotSent(fault.to_string());
     let body = Bytes::from(serde_json::to_vec(&member).map_err(unwritable)?);
@@ -60,8 +60,8 @@
     }
 }
 
-async fn read_cards(node: &FrontNode) -> oleander_plat::Result<()> {
-    let members = list_cards(node).await?;
+async fn read_records(node: &FrontNode) -> oleander_plat::Result<()> {
+    let members = list_records(node).await?;
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
     event!(node, MembersRead; "cards" => members.len());
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-async fn list_cards(node: &FrontNode) -> oleander_plat::Result<Vec<MemberInfo>> {
+async fn list_records(node: &FrontNode) -> oleander_plat::Result<Vec<MemberInfo>> {
     let page = node.store.list(FeedKind::Members).await?;
     let mut members = Vec::new();
     for object in page.objects {
@@ -84,10 +84,11 @@
     Ok(members)
 }
 
-/// Removes the cards of members that were unknown at two checks in a row.
-async fn sweep_cards(node: &FrontNode, missing: &mut BTreeSet<InstanceId>) {
-    let Ok(members) = list_cards(node).await else {
-        event!(node, MemberFault; "fault" => "outdated member cards could not be listed for removal");
+/// Removes the records of members that this process did not know at two checks in a row. `missing`
+/// holds those that it did not know at the last check.
+async fn sweep_records(node: &FrontNode, missing: &mut BTreeSet<InstanceId>) {
+    let Ok(members) = list_records(node).await else {
+        event!(node, MemberFault; "fault" => "the membership records could not be listed for removal");
         return;
     };
     let known: BTreeSet<InstanceId> =
--- a/crates/front/src/drive.rs
+++ b/crates/front/src/drive.rs
@@ -79,15 +79,20 @@
     pub deadline: Instant,
     /// ID of the last stream event that the caller has received.
     pub last_event: Option<u64>,
+    /// The rules that were in force when the request arrived.
     pub(crate) rules: Rc<RuleSet>,
     pub(crate) route: RouteKey,
     pub(crate) service: ServiceName,
     pub(crate) account: Option<AccountName>,
+    /// Priority of the account, or of the route if the account has none.
     pub(crate) rank: u8,
     pub(crate) request: RequestHead,
     pub(crate) body: Bytes,
+    /// The attempts so far, from which it is decided whether another may be sent.
     pub(crate) record: AttemptRecord,
+    /// Endpoints that failed or refused an attempt.
     pub(crate) tried: Vec<EndpointKey>,
+    /// Endpoint of the attempt under way.
     pub(crate) current: Option<EndpointKey>,
     /// Endpoint of the last attempt.
     pub(crate) endpoint: Option<InstanceId>,
@@ -278,7 +283,7 @@
     }
 
     /// Charges the account for a retry if the failed attempt may have run: the tokens of each attempt that
-    /// runs count against the limit.
+    /// runs count against the limit. Returns whether the retry is admitted.
     async fn charge_retry(&self, end: AttemptEnd) -> bool {
         match &self.charge {
             Some(charge) if end.may_have_run() => {
@@ -297,7 +302,8 @@
         }
     }
 
-    /// Decides what follows a failed attempt: none to retry, or the outcome of the finished request.
+    /// Decides whether a failed attempt is retried. Returns `None` if so; otherwise answers the caller
+    /// and returns the outcome of the request.
     async fn decide_next(
         &mut self,
         end: AttemptEnd,
@@ -357,12 +363,14 @@
         self.give_up(code).await
     }
 
+    /// Chooses an endpoint for the next attempt; `None` if there is none.
     pub(crate) fn choose(&self) -> Option<PlacementChoice> {
-        let ask = self.place_ask();
-        choose_endpoint(&self.node.endpoints.borrow(), &self.node.prefixes.borrow(), &ask)
+        let request = self.placement_request();
+        choose_endpoint(&self.node.endpoints.borrow(), &self.node.prefixes.borrow(), &request)
     }
 
-    pub(crate) fn place_ask(&self) -> PlacementRequest<'_> {
+    /// The input for the choice of an endpoint.
+    pub(crate) fn placement_request(&self) -> PlacementRequest<'_> {
         let tokens = self.call.tokens.unwrap_or_default();
         PlacementRequest {
             service: &self.service,
@@ -406,6 +414,7 @@
         shed_delay(choice, &pressure, self.queue_limit(), call_salt(&self.call))
     }
 
+    /// Whether the rules declare the endpoints of the service as engines.
     pub(crate) fn is_engine(&self) -> bool {
         self.rules.service(&self.service).is_some_and(|service| service.engine.is_some())
     }
--- a/crates/front/src/duties.rs
+++ b/crates/front/src/duties.rs
@@ -42,7 +42,7 @@
     keeper: RefCell<LeaseManager>,
 }
 
-/// How long an expired lease stays valid if no process can reach the store to renew it. No other process can have
+/// How long after its expiry a lease may still be used if no process can reach the store to renew it. No other process can have
 /// taken it meanwhile, and where calls are fenced a call that is sent too late is refused.
 const OVERDUE_LIFETIME: TimeSpan = TimeSpan(10_000);
 
@@ -54,7 +54,10 @@
         let keeper = self.keeper.borrow();
         let overdue =
             || keeper.overdue_fence(now, OVERDUE_LIFETIME).filter(|_| self.allows_overdue());
-        keeper.fence(now, self.margin()).or_else(overdue).filter(|_| collects(&self.node))
+        keeper
+            .fence(now, self.margin())
+            .or_else(overdue)
+            .filter(|_| is_settled_collector(&self.node))
     }
 
     fn margin(&self) -> TimeSpan {
@@ -85,9 +88,9 @@
     let now = node.clock.now();
     let lost = node.rules_feed.get().lost_since.is_some();
     let mesh = node.mesh.borrow();
-    let outdone =
+    let is_other_served =
         |collector: &MeshCollector| collector.is_other_served(&node.settings.instance, now);
-    lost && mesh.collector.as_ref().is_some_and(|collector| !outdone(collector))
+    lost && mesh.collector.as_ref().is_some_and(|collector| !is_other_served(collector))
 }
 
 /// Does the control work until the task is cancelled.
@@ -110,8 +113,8 @@
     }
 }
 
-/// Whether this process is the collector and has been it for long enough to know the other processes.
-pub(crate) fn collects(node: &FrontNode) -> bool {
+/// Whether this process is the collector, has been it for long enough to know the other processes, and is not leaving.
+pub(crate) fn is_settled_collector(node: &FrontNode) -> bool {
     let now = node.clock.now();
     let mesh = node.mesh.borrow();
     let settled = |since: ClockTime| now - since >= SETTLE_TIME;
@@ -120,6 +123,7 @@
         && mesh.collector.as_ref().is_some_and(|collector| settled(collector.began_at()))
 }
 
+/// Acquires, renews or releases the lease, as the role of this process requires.
 async fn keep_lease(node: &FrontNode, lease: &DutyLease) {
     let now = node.clock.lease_now();
     if let Some(notice) = node.mesh.borrow().lease.clone() {
@@ -131,7 +135,7 @@
         let action = lease.keeper.borrow_mut().release(now);
         return act_on_lease(node, lease, action).await;
     }
-    if !collects(node) {
+    if !is_settled_collector(node) {
         return;
     }
     let action = lease.keeper.borrow_mut().tick(now);
@@ -188,7 +192,7 @@
     match node.store.write(FeedKind::Leases, LEASE_NAME, guard, body).await {
         Ok(FeedWrite::Made(revision)) => LeaseReply::Written(revision),
         Ok(FeedWrite::Refused(_)) => {
-            event!(node, LeaseFault; "fault" => "another wrote it meanwhile");
+            event!(node, LeaseFault; "fault" => "the lease was changed by another process in the meantime");
             LeaseReply::Changed
         }
         Err(fault) => note_call_failure(node, &fault),
--- a/crates/front/src/duties/orders.rs
+++ b/crates/front/src/duties/orders.rs
@@ -23,6 +23,7 @@
 /// How long a service must have demand before its need is used: the averages have filled by then.
 const DEMAND_SETTLE_TIME: TimeSpan = TimeSpan(4000);
 
+/// What orders for one service are based on.
 #[derive(Default)]
 struct ServiceState {
     need: PeakNeed,
@@ -73,7 +74,7 @@
         let (Some(scale), Some(engine)) = (&service.scale, &service.engine) else { continue };
         let state = states.entry(service.name.clone()).or_default();
         let needed = peak_need(node, &service.name, engine, state);
-        let domains = domain_stands(node, &service.name, scale);
+        let domains = domain_statuses(node, &service.name, scale);
         memory.note_status(&service.name, &domains, node.clock.now());
         let needed_now = state.need.recent_peak(node.clock.now());
         let lost = endpoints_lost_to_limits(node, &service.name, needed_now);
@@ -111,6 +112,8 @@
     engines_lost_to_limits(limits, asked, needed)
 }
 
+/// Updates the need of a service with the present demand, and returns the peak need; `None` until the demand has
+/// been observed for long enough.
 fn peak_need(
     node: &FrontNode,
     service: &ServiceName,
@@ -132,8 +135,8 @@
     let tokens = (demand.unread_tokens, demand.answer_tokens);
     let since = state.demand_since?;
     let per_ms = node.measured_per_ms(service);
-    // A need based on the conservative speed would count for as long as the peak need does and order engines
-    // that are not needed. The speed is measured before these have started.
+    // The assumed speed is low. A need computed with it would be too high, remain in the peak need, and order
+    // engines that are not needed. The speed is measured before such engines have started.
     if per_ms.is_none() && now - since < DEMAND_SETTLE_TIME {
         return None;
     }
@@ -165,7 +168,12 @@
     node.mesh.borrow().peaks.iter().map(state).collect()
 }
 
-fn domain_stands(node: &FrontNode, service: &ServiceName, scale: &ScaleRule) -> Vec<DomainStatus> {
+/// Price and number of usable endpoints in each failure domain.
+fn domain_statuses(
+    node: &FrontNode,
+    service: &ServiceName,
+    scale: &ScaleRule,
+) -> Vec<DomainStatus> {
     let board = node.endpoints.borrow();
     let live = |domain: &DomainName| {
         let mut count = MarketCount::default();
--- a/crates/front/src/duties/usage.rs
+++ b/crates/front/src/duties/usage.rs
@@ -29,27 +29,28 @@
     let bounds = node.bounds();
     let length = TimeSpan((bounds.usage_window_s * 1000.0) as u64);
     let due = TimeSpan((bounds.usage_due_s * 1000.0) as u64);
-    let mut duty: Option<(u64, UsageReporter)> = None;
+    let mut reporter: Option<(u64, UsageReporter)> = None;
     loop {
         actix_rt::time::sleep(DUTY_PERIOD.duration()).await;
         let Some(fence) = lease.fence() else {
-            duty = None;
+            reporter = None;
             continue;
         };
         let now = node.true_now();
-        let current = match duty.take() {
-            Some((known, duty)) if known == fence => duty,
+        let current = match reporter.take() {
+            Some((known, reporter)) if known == fence => reporter,
             _ => resume_usage(&node, length, due, now),
         };
-        let (_, duty) = duty.insert((fence, current));
-        let UsageStep::Report(window) = duty.next(now, |since| all_members_reported(&node, since))
+        let (_, reporter) = reporter.insert((fence, current));
+        let UsageStep::Report(window) =
+            reporter.next(now, |since| all_members_reported(&node, since))
         else {
             continue;
         };
-        if duty.is_late(window, now)
+        if reporter.is_late(window, now)
             || report_window(&node, cloud.as_ref(), lease.as_ref(), window).await
         {
-            duty.done(window);
+            reporter.done(window);
             let mut mesh = node.mesh.borrow_mut();
             mesh.reported_window = mesh.reported_window.max(window);
             if let Some(collector) = &mut mesh.collector {
@@ -59,19 +60,19 @@
     }
 }
 
-/// Creates a duty that continues after the windows already known to be reported.
+/// Creates a reporter that continues after the windows already known to be reported.
 fn resume_usage(
     node: &FrontNode,
     length: TimeSpan,
     due: TimeSpan,
     now: ClockTime,
 ) -> UsageReporter {
-    let mut duty = UsageReporter::begin(length, due, now);
+    let mut reporter = UsageReporter::begin(length, due, now);
     let reported = node.mesh.borrow().reported_window;
     if reported <= window_of(now, length) {
-        duty.done(reported);
+        reporter.done(reported);
     }
-    duty
+    reporter
 }
 
 fn all_members_reported(node: &FrontNode, since: ClockTime) -> bool {
@@ -109,10 +110,10 @@
                 "requests" => report.counts.values().sum::<u64>());
             true
         }
-        Ok(DutyAnswer::Refused(words)) => {
+        Ok(DutyAnswer::Refused(reason)) => {
             node.meter.count_usage(false);
             event!(node, UsageFault;
-                "window" => window, "fence" => lease.fence(), "words" => words);
+                "window" => window, "fence" => lease.fence(), "words" => reason);
             false
         }
         Err(fault) => {
--- a/crates/front/src/evidence.rs
+++ b/crates/front/src/evidence.rs
@@ -27,7 +27,7 @@
     is_reported: bool,
 }
 
-/// Evidence about endpoints, by route.
+/// Evidence by endpoint and route.
 type RouteTallies = HashMap<(EndpointKey, CompactString), EvidenceTally>;
 
 /// Evidence about endpoints since the last report that was answered.
@@ -36,7 +36,7 @@
     seen: HashMap<EndpointKey, EvidenceTally>,
     /// Part of a report that is not answered yet; reported again if that one is lost.
     sent: HashMap<EndpointKey, EvidenceTally>,
-    /// The same by route, for services with a roll-out under way.
+    /// As `seen` and `sent`, but also by route, for services with a roll-out under way.
     seen_by_route: RouteTallies,
     sent_by_route: RouteTallies,
     sent_since: ClockTime,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The evidence for the next report, with requests that became overdue.
+    /// Starts a report: returns the evidence that no collector has confirmed yet, with requests that became overdue.
     pub fn next(&mut self, now: ClockTime) -> &HashMap<EndpointKey, EvidenceTally> {
         let overdue = |waiting: &&mut PendingAnswer| !waiting.is_reported && now >= waiting.due_at;
         let overdue = self.waiting.values_mut().filter(overdue).map(|waiting| {
@@ -126,7 +126,7 @@
         self.sent_by_route.clear();
     }
 
-    /// Discards all evidence: this process itself was delayed, and answers that seemed slow may
+    /// Discards the evidence that was not confirmed yet, because it is not reliable: this process itself was delayed, and answers that seemed slow may
     /// have waited here.
     pub fn withhold(&mut self) {
         self.seen.clear();
@@ -139,16 +139,16 @@
 /// The evidence about endpoints for the next report, in total and by route.
 pub fn report_evidence(node: &FrontNode) -> (Vec<EndpointEvidence>, Vec<RouteEvidence>) {
     let board = node.endpoints.borrow();
-    let mut outbox = node.evidence.borrow_mut();
+    let mut buffer = node.evidence.borrow_mut();
     let evidence = |key: &EndpointKey, tally: &EvidenceTally| {
         // Nobody needs evidence about an endpoint that is no longer listed.
         let entry = &board.get(*key)?.entry;
         let (instance, life) = (entry.instance.clone(), IncarnationTag::of(entry.life));
         Some(EndpointEvidence { instance, life, tally: *tally })
     };
-    let all = outbox.next(node.clock.now()).iter();
+    let all = buffer.next(node.clock.now()).iter();
     let all = all.filter_map(|(key, tally)| evidence(key, tally)).collect();
-    let by_route = outbox.next_by_route().iter().filter_map(|((key, route), tally)| {
+    let by_route = buffer.next_by_route().iter().filter_map(|((key, route), tally)| {
         Some(RouteEvidence { route: route.clone(), seen: evidence(key, tally)? })
     });
     (all, by_route.collect())
--- a/crates/front/src/feeds.rs
+++ b/crates/front/src/feeds.rs
@@ -58,6 +58,8 @@
     follow(&node, FeedKind::Endpoints, &node.endpoints_feed, take, change).await;
 }
 
+/// Lists a feed and then watches it, and starts again with a list after a failure. `take` applies a list, `change`
+/// the changes of a watch.
 async fn follow(
     node: &FrontNode,
     kind: FeedKind,
@@ -67,6 +69,7 @@
 ) {
     let mut pause = MIN_RETRY_DELAY;
     let mut from = None;
+    // The pause since the last changes, in which further ones gathered; the next watch waits less by this much.
     let mut batched = TimeSpan(0);
     loop {
         if !mesh::must_watch(node, kind) {
@@ -155,6 +158,7 @@
     }
 }
 
+/// Returns when the feed data of this process is older than a watching process may let it become.
 async fn until_stale(node: &FrontNode, kind: FeedKind) {
     actix_rt::time::sleep(MIN_WATCH_TIME.duration()).await;
     while let Some(left) = mesh::remaining_freshness(node, kind, |limits| limits.watcher) {
--- a/crates/front/src/kept.rs
+++ b/crates/front/src/kept.rs
@@ -17,7 +17,8 @@
 
 /// State that is persisted as one store object.
 pub trait StoredRecord {
-    /// Identifies a content of the object; the object is written when it changes.
+    /// Compares contents of the object: it is written when the mark of the current content differs from that of the
+    /// stored one.
     type Mark: PartialEq;
 
     /// Kind of the store object.
@@ -40,10 +41,10 @@
         false
     }
 
-    /// Applies the object that was read, or its absence, and identifies its content.
+    /// Applies the object that was read, or its absence, and returns the mark of its content.
     fn take(&mut self, node: &FrontNode, object: Option<&FeedObject>) -> Self::Mark;
 
-    /// The content that the object should have; none if it need not be written.
+    /// The content that the object should have, with its mark; none if it need not be written.
     fn current(&mut self, node: &FrontNode) -> Option<(Bytes, Self::Mark)>;
 
     /// Called after the content that `current` returned last was written.
--- a/crates/front/src/limits/diary.rs
+++ b/crates/front/src/limits/diary.rs
@@ -69,29 +69,29 @@
     let now = node.clock.lease_now();
     let Some(rules) = node.current_rules() else { return };
     let limits = node.limits.borrow();
-    let mut tracker = node.spend_diary.borrow_mut();
-    for (account, stand) in limits.statuses(now) {
+    let mut tracker = node.spend_tracker.borrow_mut();
+    for (account, status) in limits.statuses(now) {
         let Some(limit) = limit_by_name(node, &rules, account) else { continue };
-        let Some(change) = tracker.unlogged_spend(account, (stand.spent, stand.own_spent)) else {
+        let Some(change) = tracker.unlogged_spend(account, (status.spent, status.own_spent)) else {
             continue;
         };
-        let is_near_limit = stand.window as f64 * 2.0 > limit.capacity();
+        let is_near_limit = status.window as f64 * 2.0 > limit.capacity();
         if !is_near_limit && change.from_share == 0 {
             continue;
         }
         event!(node, AccountSpent;
             "account" => account.as_str(), "tokens" => change.spent, "sent_again" => change.retried,
-            "own" => change.from_share, "held" => stand.held, "told_ms" => stand.answer_age.map(|age| age.0));
+            "own" => change.from_share, "held" => status.held, "told_ms" => status.answer_age.map(|age| age.0));
     }
 }
 
 fn log_windows(node: &FrontNode) {
     let mesh = node.mesh.borrow();
     let Some(collector) = &mesh.collector else { return };
-    for (account, stand) in collector.windows().filter(|(_, stand)| stand.is_near_limit()) {
+    for (account, status) in collector.windows().filter(|(_, status)| status.is_near_limit()) {
         event!(node, AccountWindow;
-            "account" => account.as_str(), "spent" => stand.spent, "open" => stand.open,
-            "capacity" => stand.capacity, "holders" => stand.holders);
+            "account" => account.as_str(), "spent" => status.spent, "open" => status.open,
+            "capacity" => status.capacity, "holders" => status.holders);
     }
 }
 
@@ -99,22 +99,22 @@
 pub(crate) fn dump_limits(node: &FrontNode, mesh: &MeshState) -> Value {
     let now = node.clock.lease_now();
     let limits = node.limits.borrow();
-    let held = |(account, stand): (&AccountName, GateStatus)| {
+    let held = |(account, status): (&AccountName, GateStatus)| {
         json!({
             "account": account.as_str(),
-            "held": stand.held,
-            "spent": stand.spent,
-            "own_spent": stand.own_spent,
-            "told_ms": stand.answer_age.map(|age| age.0),
+            "held": status.held,
+            "spent": status.spent,
+            "own_spent": status.own_spent,
+            "told_ms": status.answer_age.map(|age| age.0),
         })
     };
-    let counted = |(account, stand): (&AccountName, WindowStatus)| {
+    let counted = |(account, status): (&AccountName, WindowStatus)| {
         json!({
             "account": account.as_str(),
-            "spent": stand.spent,
-            "open": stand.open,
-            "capacity": stand.capacity,
-            "holders": stand.holders,
+            "spent": status.spent,
+            "open": status.open,
+            "capacity": status.capacity,
+            "holders": status.holders,
         })
     };
     let windows = mesh.collector.iter().flat_map(MeshCollector::windows);
--- a/crates/front/src/limits/keeper.rs
+++ b/crates/front/src/limits/keeper.rs
@@ -15,30 +15,30 @@
     }
     let windows = node.limits.borrow().known_windows(node.clock.lease_now());
     if windows.iter().any(|(_, known)| known.age <= PROMISE_LIFETIME) {
-        let past = PriorLedger::Reported { windows, lasts: PROMISE_LIFETIME };
-        begin_ledger_from(node, mesh, past, "told");
+        let prior = PriorLedger::Reported { windows, lasts: PROMISE_LIFETIME };
+        begin_ledger_from(node, mesh, prior, "told");
     } else {
         node.ledger_wanted.notify_one();
     }
 }
 
-/// Starts the ledger with the windows of `past`; `by` names their source in the log.
+/// Starts the ledger with the windows of `prior`; `by` names their source in the log.
 pub(crate) fn begin_ledger_from(
     node: &FrontNode,
     mesh: &mut MeshState,
-    past: PriorLedger,
+    prior: PriorLedger,
     by: &'static str,
 ) {
     let now = node.clock.now();
     let Some(collector) = &mut mesh.collector else { return };
-    let windows = past.windows();
+    let windows = prior.windows();
     let age = windows.iter().map(|(_, known)| known.age.0).max();
     event!(node, LedgerBegan; "by" => by, "windows" => windows.len(), "age_ms" => age);
-    // Each ledger has its own id, also a second one of the same process. A ledger that has allotted nothing keeps its id
-    // when it is started again, because processes that it answered already refer to it.
-    let untouched = collector.ledger().filter(|ledger| ledger.is_unused());
-    let source = untouched.map_or_else(|| node.random(), PoolLedger::source);
-    collector.begin_ledger(PoolLedger::begin(source, past, now));
+    // Each ledger has its own id, even if the process had another ledger before. If the present ledger has allotted nothing,
+    // the new one takes over its id, because processes that it has answered refer to that id.
+    let unused = collector.ledger().filter(|ledger| ledger.is_unused());
+    let source = unused.map_or_else(|| node.random(), PoolLedger::source);
+    collector.begin_ledger(PoolLedger::begin(source, prior, now));
 }
 
 /// Takes over the ledger of another process, unless at least as many processes report to the ledger here already.
--- a/crates/front/src/limits/pay.rs
+++ b/crates/front/src/limits/pay.rs
@@ -83,11 +83,11 @@
 
 /// Charges a retry of a request; returns whether it was admitted.
 pub async fn charge_retry(node: &FrontNode, charge: &QuotaCharge, request: &str) -> bool {
-    let is_paid = charge_quota(node, charge, request).await.is_ok();
-    if is_paid {
-        node.spend_diary.borrow_mut().note_retry_tokens(&charge.account, charge.tokens);
+    let is_charged = charge_quota(node, charge, request).await.is_ok();
+    if is_charged {
+        node.spend_tracker.borrow_mut().note_retry_tokens(&charge.account, charge.tokens);
     }
-    is_paid
+    is_charged
 }
 
 /// Charges a request to the exposure limit of a version that is being rolled out; asks the ledger only if it `may_ask`.
--- a/crates/front/src/mesh.rs
+++ b/crates/front/src/mesh.rs
@@ -29,7 +29,7 @@
 fn end_collecting_after_stall(node: &FrontNode) {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
-    if mesh.sleep.was_paused(node.clock.wall(), now) && mesh.collector.is_some() {
+    if mesh.pause_detector.was_paused(node.clock.wall(), now) && mesh.collector.is_some() {
         mesh.end_collecting(now);
         mesh.ended_ledger = None;
         event!(node, CollectingEnded; "slept" => true);
@@ -97,8 +97,8 @@
     mesh.view.collects() || node.clock.now() - mesh.digest_at >= DIGEST_LIFETIME
 }
 
-/// Updates whether this process should leave the collecting to one that the store serves. Control
-/// work and updates of rules and endpoints need the store.
+/// Updates whether this process declares itself unfit as the collector, because the store serves
+/// other processes but not this one. Control work and updates of rules and endpoints need the store.
 fn update_fitness(node: &FrontNode) {
     /// Longer than it takes to reconnect.
     const REFUSAL_TIMEOUT: TimeSpan = TimeSpan(1000);
@@ -108,14 +108,14 @@
     let lost = lost_long(node.rules_feed.get()) || lost_long(node.endpoints_feed.get());
     let mut mesh = node.mesh.borrow_mut();
     let was = mesh.view.me().unfit;
-    let outdone = mesh
+    let is_other_served = mesh
         .collector
         .as_ref()
         .is_some_and(|collector| collector.is_other_served(&node.settings.instance, now));
     // After a store outage for all processes, some are served slightly before the others.
-    let since = if lost && outdone { mesh.step_back_since.or(Some(now)) } else { None };
-    mesh.step_back_since = since;
-    // After stepping back it receives no reports; only the store tells when it may return.
+    let since = if lost && is_other_served { mesh.refused_alone_since.or(Some(now)) } else { None };
+    mesh.refused_alone_since = since;
+    // An unfit process receives no reports, so it becomes fit only when the store answers it again.
     let unfit = (was && lost) || since.is_some_and(|since| now - since > REFUSAL_TIMEOUT);
     if unfit != was {
         event!(node, TurnedAway; "so" => unfit);
--- a/crates/front/src/mesh/account.rs
+++ b/crates/front/src/mesh/account.rs
@@ -25,18 +25,18 @@
     let measured_report = is_due.then(|| report_part_sizes(&report));
     let answer = collect(node, report);
     if let (Some(report), MeshBody::Digest(digest)) = (measured_report, &answer) {
-        let account = ExchangeSizes { report, digest: digest_part_sizes(digest) };
+        let sizes = ExchangeSizes { report, digest: digest_part_sizes(digest) };
         event!(node, NewsMeasured;
-            "report" => format_sizes(&account.report), "digest" => format_sizes(&account.digest),
+            "report" => format_sizes(&sizes.report), "digest" => format_sizes(&sizes.digest),
             "sent" => node.traffic.sent.get(), "received" => node.traffic.received.get());
         let mut mesh = node.mesh.borrow_mut();
         mesh.measured_at = Some(now);
-        mesh.exchange_sizes = account;
+        mesh.exchange_sizes = sizes;
     }
     answer
 }
 
-fn format_sizes(account: &PartSizes) -> String {
+fn format_sizes(sizes: &PartSizes) -> String {
     let part = |(name, bytes): &(&str, usize)| format!("{name} {bytes}");
-    account.iter().map(part).collect::<Vec<_>>().join(", ")
+    sizes.iter().map(part).collect::<Vec<_>>().join(", ")
 }
--- a/crates/front/src/mesh/collect.rs
+++ b/crates/front/src/mesh/collect.rs
@@ -58,6 +58,7 @@
             MeshBody::RequestLimit(ask) => {
                 MeshBody::Allotted(answer_limit_ask(&self.0, &ask).map(Box::new))
             }
+            // These are answers; no process sends them as requests.
             MeshBody::Digest(_)
             | MeshBody::Allotted(_)
             | MeshBody::Part(_)
@@ -240,6 +241,6 @@
     node.rules.borrow_mut().merge_freshness(&report.rules, late, node.clock.now());
     match &report.roster_update {
         Some(update) => roster::apply_peer_update(node, update, (&report.roster, late), None),
-        None => roster::apply_peer_vouch(node, &report.roster, late),
+        None => roster::apply_peer_freshness(node, &report.roster, late),
     }
 }
--- a/crates/front/src/mesh/digest.rs
+++ b/crates/front/src/mesh/digest.rs
@@ -79,8 +79,9 @@
     allotments.into_iter().for_each(|entry| limits.take(&entry.account, entry.allotment, times));
 }
 
-/// Logs read speeds that differ from the known ones by more than a tenth.
+/// Logs prefill speeds that differ from the known ones by more than a tenth.
 fn log_paces(node: &FrontNode, known: &[ServicePace], news: &[ServicePace]) {
+    /// Smallest relative change that is logged.
     const MIN_LOGGED_CHANGE: f32 = 0.1;
     let known_of = |pace: &ServicePace| known.iter().find(|known| known.service == pace.service);
     let changed = |pace: &&ServicePace| {
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -21,8 +21,8 @@
 }
 
 /// Builds the report.
-pub(super) fn make_report(node: &FrontNode, news: LimitContent) -> NodeReport {
-    let (with_claims, handed) = match news {
+pub(super) fn make_report(node: &FrontNode, limit_content: LimitContent) -> NodeReport {
+    let (with_claims, handed) = match limit_content {
         LimitContent::Nothing => (false, None),
         LimitContent::Claims(handed) => (true, handed),
     };
--- a/crates/front/src/mesh/parts.rs
+++ b/crates/front/src/mesh/parts.rs
@@ -32,8 +32,8 @@
 }
 
 async fn fetch(node: Rc<FrontNode>, first: SocketAddr, mark: u64) {
-    let mut book = PartsAssembler::default();
-    let mut ask = {
+    let mut assembler = PartsAssembler::default();
+    let mut request = {
         let status = node.roster.borrow().status(node.clock.now());
         let known = status.freshness.filter(|_| !status.needs_whole);
         PartRequest { since: known.map(|freshness| freshness.mark), after: None }
@@ -41,8 +41,8 @@
     let mut peer = Some(first);
     let mut asked = 1;
     while let Some(address) = peer.filter(|_| asked <= MAX_PEERS_ASKED) {
-        match fetch_part(&node, address, (&mut book, ask.clone(), mark)).await {
-            PartStep::RequestAfter(name) => ask.after = Some(name),
+        match fetch_part(&node, address, (&mut assembler, request.clone(), mark)).await {
+            PartStep::RequestAfter(name) => request.after = Some(name),
             PartStep::Joined(parts) => return roster::apply_parts(&node, &parts),
             PartStep::TooOld => {
                 peer = random_peer(&node);
@@ -56,13 +56,13 @@
 async fn fetch_part(
     node: &FrontNode,
     address: SocketAddr,
-    (book, ask, mark): (&mut PartsAssembler, PartRequest, u64),
+    (assembler, request, mark): (&mut PartsAssembler, PartRequest, u64),
 ) -> PartStep {
     let Some(hub) = node.peers.get() else { return PartStep::TooOld };
     let asked_at = node.clock.now();
-    let call = (address.to_string().into(), MeshBody::RequestPart(ask));
+    let call = (address.to_string().into(), MeshBody::RequestPart(request));
     match call_peer(node, hub, call, PART_TIMEOUT).await {
-        Some(MeshBody::Part(part)) => book.take(*part, mark, (asked_at, node.clock.now())),
+        Some(MeshBody::Part(part)) => assembler.take(*part, mark, (asked_at, node.clock.now())),
         _ => PartStep::TooOld,
     }
 }
--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -57,8 +57,9 @@
     releases::refresh(node);
     suspects::refresh_quarantine(node);
     words::apply_local_shares(node);
-    // A new process adopts the collector of the others. Choosing for itself, from what it knows
-    // then, half of the processes once stayed apart for a turn after they were killed.
+    // A new process adopts the collector of the others. When each chose one itself, from the few
+    // members it knew, half of the processes that were killed and restarted followed a different
+    // collector for a whole term.
     let undecided = node.mesh.borrow().view.chosen().is_none();
     if undecided || node.mesh.borrow().view.others().next().is_none() {
         ask_seeds(node, hub).await;
@@ -131,7 +132,7 @@
     call_collector(node, hub, collector, (report, claimed_at)).await
 }
 
-/// Notes that the collector received the last report.
+/// Drops what the last report carried from the queues, because the collector received it.
 fn confirm_report(node: &FrontNode) {
     node.evidence.borrow_mut().confirm_report();
     node.suspects.borrow_mut().note_taken();
@@ -201,7 +202,7 @@
 fn apply_members(node: &FrontNode, list: MemberList) {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
-    // The first card is that of the seed itself.
+    // The first member is the seed itself, which has just answered.
     for (at, member) in list.members.into_iter().enumerate() {
         mesh.view.take(member, at == 0, now);
     }
@@ -221,29 +222,29 @@
     let hands_over = report.handed.is_some();
     // A connection may be dead although its peer is alive; a new one shows it.
     let mut outcome = call_address(node, hub, collector.address, (report, claimed_at)).await;
-    if outcome == CallOutcome::Failed {
+    if outcome == ReportOutcome::Failed {
         outcome = call_address(node, hub, collector.address, (retry, claimed_at)).await;
     }
-    if outcome != CallOutcome::Redirected && hands_over {
+    if outcome != ReportOutcome::Redirected && hands_over {
         // The receiver has, or may have, the ledger that was ended here. A second ledger would hand
         // out the same limits again.
         node.mesh.borrow_mut().ended_ledger = None;
     }
-    if outcome == CallOutcome::Failed {
+    if outcome == ReportOutcome::Failed {
         event!(node, CollectorSilent; "collector" => collector.id.as_str());
         node.mesh.borrow_mut().view.mark_unresponsive(&collector.id, node.clock.now());
     }
-    outcome == CallOutcome::Answered
+    outcome == ReportOutcome::Answered
 }
 
-/// The outcome of a report to another process.
+/// How another process responded to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CallOutcome {
+enum ReportOutcome {
     /// Answered with a digest.
     Answered,
     /// Another process has to be asked.
     Redirected,
-    /// Not answered.
+    /// No answer, or one that does not fit a report.
     Failed,
 }
 
@@ -252,7 +253,7 @@
     hub: &Addr<PeerHub<MeshBody>>,
     address: std::net::SocketAddr,
     (report, claimed_at): (NodeReport, ClockTime),
-) -> CallOutcome {
+) -> ReportOutcome {
     let sent_at = node.clock.now();
     let address: CompactString = address.to_string().into();
     let body = MeshBody::Report(Box::new(report));
@@ -263,15 +264,15 @@
                 fetch_list(node, digest.from.address, digest.roster.mark());
             }
             apply_digest(node, *digest, (node.clock.now() - sent_at, claimed_at));
-            CallOutcome::Answered
+            ReportOutcome::Answered
         }
         Some(MeshBody::Leaving(member)) => {
             node.mesh.borrow_mut().view.take(member, true, node.clock.now());
-            CallOutcome::Redirected
+            ReportOutcome::Redirected
         }
         Some(MeshBody::Follow(member)) => {
             follow_collector(&mut node.mesh.borrow_mut(), node, member);
-            CallOutcome::Redirected
+            ReportOutcome::Redirected
         }
         Some(
             MeshBody::Report(_)
@@ -282,6 +283,6 @@
             | MeshBody::RequestPart(_)
             | MeshBody::Part(_),
         )
-        | None => CallOutcome::Failed,
+        | None => ReportOutcome::Failed,
     }
 }
--- a/crates/front/src/mesh/state.rs
+++ b/crates/front/src/mesh/state.rs
@@ -27,22 +27,28 @@
     pub reported_window: u64,
     /// The recent peak demand of services.
     pub peaks: Vec<ServicePeak>,
-    /// The engines' read speeds, as measured by all processes together.
+    /// The engines' prefill speeds, as measured by all processes together.
     pub paces: Vec<ServicePace>,
-    pub(super) sleep: PauseDetector,
+    /// Detects that this process was suspended.
+    pub(super) pause_detector: PauseDetector,
     /// Usage counts that were reported here while this process was the collector, and since when
     /// they are passed on to its successor.
     pub(super) inherited_usage: Option<(Vec<NodeUsage>, ClockTime)>,
     /// The ledger that was ended here, until another collector has it or may have it.
     pub(crate) ended_ledger: Option<PoolLedger>,
-    pub(super) step_back_since: Option<ClockTime>,
+    /// Since when the store has served other processes but not this one.
+    pub(super) refused_alone_since: Option<ClockTime>,
+    /// When the last digest was applied.
     pub(super) digest_at: ClockTime,
+    /// The process that sent the last digest.
     pub(super) digest_from: Option<MemberInfo>,
+    /// Whether the collector asked for the rules.
     pub(super) wants_rules: bool,
     /// The state of the collector's endpoint list, if it asked for what it lacks.
     pub(super) wants_roster: Option<RosterStatus>,
     /// Sizes of the last measured exchange.
     pub(crate) exchange_sizes: ExchangeSizes,
+    /// When the size of an exchange was last measured.
     pub(super) measured_at: Option<ClockTime>,
     /// When this process last started to fetch a whole endpoint list from peers.
     pub(super) fetched_at: Option<ClockTime>,
@@ -59,10 +65,10 @@
             reported_window: 0,
             peaks: Vec::new(),
             paces: Vec::new(),
-            sleep: PauseDetector::default(),
+            pause_detector: PauseDetector::default(),
             inherited_usage: None,
             ended_ledger: None,
-            step_back_since: None,
+            refused_alone_since: None,
             digest_at: ClockTime(0),
             digest_from: None,
             wants_rules: false,
--- a/crates/front/src/node.rs
+++ b/crates/front/src/node.rs
@@ -34,8 +34,8 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The share of the allowed retries that the processes divide among themselves. The rest is a
-/// margin for requests that this count and that of the endpoints place in different windows.
+/// The share of the retries allowed by the operators that all processes together use. The rest is a
+/// margin, because a request may be counted in one window here and in another at its endpoint.
 const BUDGET_SHARE: f64 = 0.8;
 
 /// The state of one front process. It is used by one thread only.
@@ -90,15 +90,15 @@
     pub traffic: Rc<TrafficCount>,
     /// The connections to the other processes.
     pub peers: OnceCell<Addr<PeerHub<MeshBody>>>,
-    /// What was logged about account limits.
-    pub spend_diary: RefCell<SpendTracker>,
+    /// Tokens that each account spent at this process, as last logged.
+    pub spend_tracker: RefCell<SpendTracker>,
     /// Requests that began to run, by window and account.
     pub usage: RefCell<UsageCounter>,
     /// The demand for each service since this process started.
     pub demand: RefCell<BTreeMap<ServiceName, ServiceDemand>>,
-    /// Prompt tokens that callers of this process ask the services to read.
+    /// The rate of prompt tokens in the requests that callers send to this process, by service.
     pub offered: RefCell<HashMap<ServiceName, OfferedRate>>,
-    /// Read speeds of the services' engines, as measured by this process.
+    /// Prefill speeds of the services' engines, as measured by this process.
     pub paces: RefCell<HashMap<ServiceName, PaceEstimator>>,
     /// How often streams of this process paused for too long, by service.
     pub pauses: RefCell<HashMap<ServiceName, PauseRecord>>,
@@ -176,7 +176,7 @@
             ledger_retry_at: Cell::default(),
             traffic: Rc::default(),
             peers: OnceCell::new(),
-            spend_diary: RefCell::default(),
+            spend_tracker: RefCell::default(),
             usage: RefCell::new(UsageCounter::new(window)),
             demand: RefCell::default(),
             offered: RefCell::default(),
@@ -205,11 +205,11 @@
 
     /// Cluster time, as known to this process.
     pub fn true_now(&self) -> ClockTime {
-        self.clock_true(&self.mesh.borrow())
+        self.true_now_with(&self.mesh.borrow())
     }
 
-    /// Like [`FrontNode::true_now`], for callers that have borrowed the mesh state.
-    pub(crate) fn clock_true(&self, mesh: &MeshState) -> ClockTime {
+    /// Cluster time, for callers that have borrowed the mesh state.
+    pub(crate) fn true_now_with(&self, mesh: &MeshState) -> ClockTime {
         mesh.clock.read(self.clock.now(), self.clock.wall())
     }
 
@@ -310,13 +310,13 @@
         act(demand.entry(service.clone()).or_insert_with(fresh));
     }
 
-    /// Prompt tokens that an idle engine of `service` reads in a millisecond, or a cautious
+    /// Prompt tokens that an idle engine of `service` prefills in a millisecond, or a conservative
     /// default.
     pub fn read_per_ms(&self, service: &ServiceName) -> f64 {
         self.measured_per_ms(service).unwrap_or(ASSUMED_PER_MS)
     }
 
-    /// The read speed as measured by all processes, or else by this one; `None` until there are
+    /// The prefill speed as measured by all processes, or else by this one; `None` until there are
     /// enough samples.
     pub fn measured_per_ms(&self, service: &ServiceName) -> Option<f64> {
         let joined = {
@@ -338,13 +338,13 @@
         pauses.entry(service.clone()).or_default().note(is_late, self.clock.now());
     }
 
-    /// Records a prompt that an engine of `service` has read.
+    /// Records how fast an engine of `service` prefilled a prompt.
     pub fn note_read(&self, service: &ServiceName, sample: ReadSample) {
         let mut paces = self.paces.borrow_mut();
         paces.entry(service.clone()).or_default().note(sample, self.clock.now());
     }
 
-    /// Counts prompt tokens that `service` is asked to read, and returns the pressure on it.
+    /// Counts prompt tokens of a request for `service`, and returns the load of the service.
     pub fn note_offered(&self, service: &ServiceName, tokens: u64) -> ServiceLoad {
         let mut offered = self.offered.borrow_mut();
         let rate = offered.entry(service.clone()).or_default();
--- a/crates/front/src/releases.rs
+++ b/crates/front/src/releases.rs
@@ -122,11 +122,11 @@
         let account = rollouts.book.paying_account(service, (draw, share), (expected, now))?;
         (account, rollouts.book.is_moving(service))
     };
-    // While a candidate is tried, a request that finds no allotted budget goes to the serving
-    // version. One that would outlast the moment at which the former version is abandoned is worth
-    // a call to the ledger.
-    let is_paid = limits::charge_rollout(node, &account, is_moving).await;
-    is_paid.then_some(CandidatePayment(account))
+    // While a candidate is tried, a request for which no budget is allotted goes to the serving
+    // version. While requests are being moved to the candidate, the ledger is asked for budget: the
+    // request would still run when the former version is no longer used.
+    let is_charged = limits::charge_rollout(node, &account, is_moving).await;
+    is_charged.then_some(CandidatePayment(account))
 }
 
 /// Refunds an attempt that certainly did not run.
@@ -134,7 +134,7 @@
     node.limits.borrow_mut().give_back(&payment.0, 1);
 }
 
-/// The request limit of a candidate, if `account` pays for one.
+/// The exposure limit of a candidate, if `account` is the one that its requests are charged to.
 pub(crate) fn exposure_limit_of(node: &FrontNode, account: &AccountName) -> Option<PoolLimit> {
     let rollouts = node.releases.borrow();
     let running = rollouts.order_paid_by(account)?;
--- a/crates/front/src/releases/lane.rs
+++ b/crates/front/src/releases/lane.rs
@@ -7,8 +7,8 @@
 use oleander_kind::hash::mix_bits;
 use oleander_place::PlacementChoice;
 
-/// The longest answer time of plain services, apart from rare outliers; also the time of an
-/// engine's answer besides its tokens.
+/// The longest answer time of plain services, apart from rare outliers. For engines, the part of the
+/// answer time that does not depend on the number of tokens.
 const PLAIN_ANSWER_TIME: TimeSpan = TimeSpan(300);
 /// The time of an engine for one token, in ms, with all its slots in use.
 const TOKEN_MS: f64 = 6.0;
--- a/crates/front/src/roster.rs
+++ b/crates/front/src/roster.rs
@@ -12,20 +12,20 @@
 use oleander_plat::{FeedEvent, FeedObject, FeedPage};
 use oleander_release::VersionLane;
 
-/// How many heartbeat intervals may pass without news from the store before an entry lapses.
-/// Entries lapse after three intervals of silence. One of these may have passed when the store was
-/// last heard, and half of one covers the time of an answer, which can be a quarter of a second.
-const LAPSE_HEARTBEATS: f64 = 1.5;
+/// How many heartbeat intervals after the last answer of the store an entry may expire. Entries
+/// expire three intervals after their last heartbeat. One interval may have passed before that
+/// answer, and half of one is reserved for the time of an answer, which can be a quarter of a second.
+const MIN_EXPIRY_HEARTBEATS: f64 = 1.5;
 
 /// Applies the list as read from the store, which sent it at `at`.
 pub fn apply_list(node: &FrontNode, page: &FeedPage, at: ClockTime) {
-    let freshness = own_vouch(node, page.as_of, at);
+    let freshness = own_stamp(node, page.as_of, at);
     update_roster(node, |book, news| book.apply_store_list(page, freshness, news));
 }
 
 /// Applies changes from the store up to revision `as_of`, which it sent at `at`.
 pub fn apply_changes(node: &FrontNode, events: &[FeedEvent], as_of: u64, at: ClockTime) {
-    let freshness = own_vouch(node, as_of, at);
+    let freshness = own_stamp(node, as_of, at);
     update_roster(node, |book, news| book.apply_store_changes(events, freshness, news));
 }
 
@@ -67,12 +67,13 @@
     }
 }
 
-/// Applies the time at which the store last confirmed the list to a peer whose list is the same.
-pub fn apply_peer_vouch(node: &FrontNode, status: &RosterStatus, late: TimeSpan) {
+/// Applies the freshness of a peer's list, which is the same as the one here: the time at which the
+/// store last confirmed it to that peer.
+pub fn apply_peer_freshness(node: &FrontNode, status: &RosterStatus, late: TimeSpan) {
     update_roster(node, |book, news| book.merge_freshness(status, late, news));
 }
 
-fn own_vouch(node: &FrontNode, mark: u64, at: ClockTime) -> FreshnessStamp {
+fn own_stamp(node: &FrontNode, mark: u64, at: ClockTime) -> FreshnessStamp {
     FreshnessStamp { mark, at, by: node.settings.instance.clone() }
 }
 
@@ -89,7 +90,7 @@
         let entry = node.dialect.decode_endpoint(object, now)?;
         Ok(DecodedEntry { life: entry.life, entry })
     };
-    let min_expiry = TimeSpan((bounds.heartbeat_ms as f64 * LAPSE_HEARTBEATS) as u64);
+    let min_expiry = TimeSpan((bounds.heartbeat_ms as f64 * MIN_EXPIRY_HEARTBEATS) as u64);
     let times = ExpiryTimes { min_expiry, relist_delay: TimeSpan(bounds.relist_ms) };
     let news = RosterContext { times, now, decode: &decode };
     let actions = take(&mut node.roster.borrow_mut(), &news);
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -33,7 +33,7 @@
     let mut headers = std::mem::replace(head.headers_mut(), HeaderMap::new());
     context.node.dialect.strip_answer(&mut headers);
     let mut headers = Some(headers);
-    let mut cutter = EventSplitter::default();
+    let mut splitter = EventSplitter::default();
     let mut resumes = context.answer.stage() != AnswerStage::Waiting;
     let mut limit = context.first_chunk_deadline();
     let (node, key) = (context.node.clone(), work.key());
@@ -46,8 +46,8 @@
             }
             Err(_) => return (AttemptOutcome::Ended(AttemptEnd::TimedOut, None), None),
         };
-        cutter.push(&bytes);
-        let Some(out) = complete_events(context, &mut cutter) else {
+        splitter.push(&bytes);
+        let Some(out) = complete_events(context, &mut splitter) else {
             return (AttemptOutcome::Ended(AttemptEnd::Broken, None), None);
         };
         if out.is_empty() {
@@ -73,7 +73,7 @@
         }
         limit = stall_deadline(context);
     }
-    let rest = cutter.take_incomplete();
+    let rest = splitter.take_incomplete();
     let written = async {
         write_events(context, status, &mut headers, rest).await?;
         context.answer.finish().await
@@ -87,10 +87,13 @@
     }
 }
 
-/// The complete events in `cutter` that the caller has not received yet; `None` if an event is too long.
-fn complete_events(context: &mut CallContext<'_, '_>, cutter: &mut EventSplitter) -> Option<Bytes> {
+/// The complete events in `splitter` that the caller has not received yet; `None` if an event is too long.
+fn complete_events(
+    context: &mut CallContext<'_, '_>,
+    splitter: &mut EventSplitter,
+) -> Option<Bytes> {
     let mut out = BytesMut::new();
-    while let Some(event) = cutter.next_event().ok()? {
+    while let Some(event) = splitter.next_event().ok()? {
         let known = matches!((event.id, context.last_event), (Some(id), Some(last)) if id <= last);
         if known {
             continue;
@@ -127,7 +130,7 @@
 }
 
 /// Records whether a finished stream paused for longer than the route allows. A stream that took less than twice
-/// that pause is not counted: hardly any prompt was prefilled meanwhile.
+/// that pause is not counted: hardly any prompt can have been prefilled at its engine meanwhile.
 fn note_pauses(context: &CallContext<'_, '_>) {
     let (Some(longest), Some(first_chunk_at)) = (context.route().pause, context.first_chunk_at)
     else {
--- a/crates/front/src/suspect_store.rs
+++ b/crates/front/src/suspect_store.rs
@@ -4,7 +4,7 @@
 //! If all processes are killed at once their records are lost. Without the stored copy, each
 //! request that was quarantined would crash three more endpoints.
 
-use crate::duties::{collects, encode};
+use crate::duties::{encode, is_settled_collector};
 use crate::events::event;
 use crate::kept::StoredRecord;
 use crate::node::FrontNode;
@@ -60,7 +60,7 @@
     const CHECK_PERIOD: TimeSpan = CHECK_PERIOD;
 
     fn is_writer(&self, node: &FrontNode) -> bool {
-        collects(node)
+        is_settled_collector(node)
     }
 
     fn take(&mut self, node: &FrontNode, object: Option<&FeedObject>) -> StoredEnds {
--- a/crates/front/src/suspects.rs
+++ b/crates/front/src/suspects.rs
@@ -86,6 +86,7 @@
     }
 }
 
+/// Opens a connection to an endpoint to find out whether it has ended.
 async fn probe_for_exit(node: Rc<FrontNode>, life: EndpointIncarnation, address: SocketAddr) {
     let link = match IdleLink::open(address, CONNECT_TIMEOUT, SocketBounds::default()).await {
         Ok(link) => link,
@@ -109,7 +110,8 @@
     matches!(fault, LinkError::ConnectFailed(cause) if cause.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// Notes that an endpoint ended without having signalled that it leaves; `by` names the evidence.
+/// Notes that an endpoint ended without having signalled that it leaves, and records the crash for each request of
+/// this process that it was running. `by` names the evidence in the log.
 pub fn note_ended(node: &FrontNode, life: &EndpointIncarnation, by: &'static str) {
     let now = node.clock.now();
     let under = node.crash_watch.borrow_mut().note_ended(life, now);
--- a/crates/front/src/window_store.rs
+++ b/crates/front/src/window_store.rs
@@ -50,7 +50,7 @@
     failed_reads: u32,
 }
 
-/// When the object was written; 0 while there is nothing to write.
+/// Version of the stored windows: the time at which they were written, or 0 while there is nothing to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowMark(u64);
 
@@ -77,8 +77,8 @@
         let list = object.map(|object| read_list(node, object));
         let mut mesh = node.mesh.borrow_mut();
         if needs_ledger(node, &mesh) {
-            let (past, by) = ledger_past(list.as_ref(), node.clock_true(&mesh));
-            begin_ledger_from(node, &mut mesh, past, by);
+            let (prior, by) = prior_ledger(list.as_ref(), node.true_now_with(&mesh));
+            begin_ledger_from(node, &mut mesh, prior, by);
         }
         WindowMark(list.map_or(0, |list| list.at.0))
     }
@@ -88,7 +88,7 @@
         let mesh = node.mesh.borrow();
         let ledger = mesh.collector.as_ref().and_then(MeshCollector::ledger)?;
         let (windows, promises) = ledger.export_windows(now);
-        let at = if ledger.is_idle() { ClockTime(0) } else { node.clock_true(&mesh) };
+        let at = if ledger.is_idle() { ClockTime(0) } else { node.true_now_with(&mesh) };
         let listed = |(account, window)| StoredWindow { account, window };
         let accounts = windows.into_iter().map(listed).collect();
         let list = StoredWindows { at, source: ledger.source(), accounts };
@@ -108,8 +108,8 @@
         self.failed_reads += 1;
         let mut mesh = node.mesh.borrow_mut();
         if needs_ledger(node, &mesh) && self.failed_reads >= MAX_FAILED_READS {
-            let past = PriorLedger::Reported { windows: Vec::new(), lasts: STORED_LIFETIME };
-            begin_ledger_from(node, &mut mesh, past, "unread");
+            let prior = PriorLedger::Reported { windows: Vec::new(), lasts: STORED_LIFETIME };
+            begin_ledger_from(node, &mut mesh, prior, "unread");
         }
     }
 }
@@ -129,7 +129,8 @@
     })
 }
 
-fn ledger_past(list: Option<&StoredWindows>, true_now: ClockTime) -> (PriorLedger, &'static str) {
+/// The ledger that wrote the stored windows, and the name of their source for the log.
+fn prior_ledger(list: Option<&StoredWindows>, true_now: ClockTime) -> (PriorLedger, &'static str) {
     let Some(list) = list else { return (PriorLedger::Absent, "nothing") };
     let known = |listed: &StoredWindow| {
         let (reported, age) = (listed.window.clone(), true_now - list.at);
--- a/crates/front/src/words.rs
+++ b/crates/front/src/words.rs
@@ -26,7 +26,7 @@
 /// How this process learned of a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SignalSource {
-    /// In a answer of the endpoint to this process.
+    /// From an answer of the endpoint to a request of this process.
     Answer,
     /// From another process, through the collector.
     Peer,
@@ -41,11 +41,12 @@
     }
 }
 
-/// Applies the signals in a answer of endpoint `key` to `request`, which was sent at `asked_at`.
+/// Applies the signals in an answer that endpoint `key` sent on the connection of `request`, which
+/// was sent at `asked_at`.
 ///
-/// A missing limit header ends a known limit only if the answer is that of the request itself and
-/// the endpoint ran it. A answer to another request arrived late, and refusals and answers of a
-/// faulty endpoint may lack headers that its regular answers carry.
+/// A missing limit header ends a known limit only if the answer belongs to `request` and the
+/// endpoint ran it. An answer to another request arrived late, and refusals and answers of a faulty
+/// endpoint may lack headers that its regular answers carry.
 pub(crate) fn apply_answer_mark(
     node: &FrontNode,
     (key, mark): (EndpointKey, &AnswerHead),
@@ -104,21 +105,21 @@
     let now = node.clock.lease_now();
     let mut board = node.endpoints.borrow_mut();
     let Some(fact) = board.get_mut(key) else { return };
-    let rested = now < fact.declared.backoff_until;
+    let was_backing_off = now < fact.declared.backoff_until;
     fact.declared.backoff_until = fact.declared.backoff_until.max(now + backoff);
     node.meter.count_word("rest", SignalSource::Answer.name());
     event!(node, EndpointRests;
         "endpoint" => fact.entry.instance.as_str(), "life" => fact.entry.life,
         "service" => fact.entry.service.as_str(), "for_ms" => backoff.0,
-        "left_ms" => (fact.declared.backoff_until - now).0, "rested" => rested);
+        "left_ms" => (fact.declared.backoff_until - now).0, "rested" => was_backing_off);
 }
 
-/// Applies a limit, or its end if the rate is absent.
-fn apply_limit(node: &FrontNode, key: EndpointKey, (word, source): (RateSignal, SignalSource)) {
+/// Applies a rate limit that an endpoint signalled, or the end of its limit if the rate is absent.
+fn apply_limit(node: &FrontNode, key: EndpointKey, (signal, source): (RateSignal, SignalSource)) {
     let now = node.clock.lease_now();
-    let own = word.rate.and_then(|rate| own_share(rate, node.process_count()));
+    let own = signal.rate.and_then(|rate| own_share(rate, node.process_count()));
     let mut board = node.endpoints.borrow_mut();
-    let Some(before) = board.note_limit(key, word) else { return };
+    let Some(before) = board.note_limit(key, signal) else { return };
     if let Some(fact) = board.get_mut(key) {
         // Used until the collector's next digest brings the first lease.
         if let Some(per_s) = own.filter(|_| before.is_none()) {
--- a/crates/front/src/words/rates.rs
+++ b/crates/front/src/words/rates.rs
@@ -20,9 +20,9 @@
     collector: &mut MeshCollector,
     digest: &mut MeshDigest,
 ) {
-    let words = known_signals(node);
-    if signals_hash(&words) != report.signals_hash {
-        digest.words = Some(words);
+    let signals = known_signals(node);
+    if signals_hash(&signals) != report.signals_hash {
+        digest.words = Some(signals);
     }
     if !report.is_late && collector.rates().grants_leases(node.clock.now()) {
         digest.rates = Some(lease_rate_shares(node, (report, view.serving()), collector));
@@ -37,7 +37,8 @@
 }
 
 impl ReporterState {
-    /// Reads it from a report. A report of a turn before `oldest_term` was sent long ago.
+    /// The state in a report. A report of a term before `oldest_term` is late: it
+    /// was sent long ago.
     pub(crate) fn of(report: &NodeReport, oldest_term: u64) -> Self {
         ReporterState {
             id: report.member.id.clone(),
@@ -88,7 +89,7 @@
     renew_buckets(node, part, claimed_at);
 }
 
-/// Uses this process's even share of high limits while no collector leases them out. With leases
+/// Gives this process an even share of each high limit while no collector leases the rates out. With leases
 /// alone, callers of a service whose endpoints all set a limit would be refused for two seconds
 /// after each loss of the collector.
 pub(crate) fn apply_local_shares(node: &FrontNode) {
--- a/crates/front/src/words/tell.rs
+++ b/crates/front/src/words/tell.rs
@@ -49,9 +49,9 @@
             let key = board.key(&signal.instance);
             key.filter(|key| board.get(*key).is_some_and(|fact| fact.entry.life == signal.life))
         };
-        let word = RateSignal { rate: signal.limit, asked_at: now - (signal.age + late) };
+        let rate_signal = RateSignal { rate: signal.limit, asked_at: now - (signal.age + late) };
         if let Some(key) = key {
-            apply_limit(node, key, (word, SignalSource::Peer));
+            apply_limit(node, key, (rate_signal, SignalSource::Peer));
         }
     }
 }
@@ -80,7 +80,7 @@
     keys.into_iter().filter_map(|key| signals_of(board.get(key)?, now)).collect()
 }
 
-/// Notes that the last report was answered.
+/// Removes the signals that the last report carried from the queue, now that it was answered.
 pub(crate) fn confirm_report(node: &FrontNode) {
     let board = node.endpoints.borrow();
     node.signals.borrow_mut().confirm_report(|key| board.get(key).map(state_of));
--- a/crates/front/src/work.rs
+++ b/crates/front/src/work.rs
@@ -21,8 +21,9 @@
     /// When the answer to a request sent at `now` is overdue. It is later than a healthy endpoint takes, and
     /// early enough that a hanging endpoint is noticed before its callers give up.
     fn overdue_at(&self, now: ClockTime) -> ClockTime {
-        const TIMES: u64 = 2;
-        now + TimeSpan(self.expected.max(self.objective).0 * TIMES)
+        /// Multiple of the expected time, or of the latency objective if that is longer.
+        const OVERDUE_FACTOR: u64 = 2;
+        now + TimeSpan(self.expected.max(self.objective).0 * OVERDUE_FACTOR)
     }
 }
 
--- a/tests/all/front.rs
+++ b/tests/all/front.rs
@@ -215,7 +215,7 @@
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        if is_whole(&text) {
+        if is_complete(&text) {
             return CallerAnswer { text, ended: false };
         }
         let reading = tokio::time::timeout(Duration::from_secs(10), stream.read_buf(&mut bytes));
@@ -226,7 +226,7 @@
     }
 }
 
-fn is_whole(text: &str) -> bool {
+fn is_complete(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
     let length = head.lines().find_map(|line| {
         let (name, value) = line.split_once(':')?;
@@ -249,12 +249,12 @@
     Some(read_answer(&mut stream).await)
 }
 
-fn say(text: &str) -> Act {
+fn send_text(text: &str) -> Act {
     Act::Say(text.to_owned())
 }
 
 /// A valid answer that carries the id of its request.
-fn sound(body: &str) -> String {
+fn valid_answer(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {{id}}\r\nX-Oleandertack-Response-Seal: seal\r\n\
          Content-Length: {}\r\n\r\n{body}",
@@ -263,10 +263,11 @@
 }
 
 pub async fn good(body: &str) -> Scripted {
-    scripted(vec![vec![say(&sound(body))]]).await
+    scripted(vec![vec![send_text(&valid_answer(body))]]).await
 }
 
-fn count(endpoint: &Scripted) -> usize {
+/// Number of requests that the endpoint has received.
+fn received_requests(endpoint: &Scripted) -> usize {
     endpoint.seen.borrow().requests.len()
 }
 
@@ -320,7 +321,7 @@
             assert_eq!(came.status(), status, "{:.60}: {came:?}", text);
         }
 
-        assert_eq!(count(&endpoint), 0);
+        assert_eq!(received_requests(&endpoint), 0);
         assert_eq!(ask(address, &request("POST", "/once/a", "r", "", "")).await.status(), "200");
     });
 }
@@ -336,7 +337,7 @@
         let (_process, address) = front(&[near.address, far.address]).await;
 
         let once = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
-        let far_after_once = count(&far);
+        let far_after_once = received_requests(&far);
         let any = ask(address, &request("GET", "/any/a", "r2", "", "")).await;
 
         assert_eq!((once.status(), far_after_once), ("502", 0));
@@ -349,13 +350,16 @@
     run(async {
         let refusal =
             "HTTP/1.1 503 Full\r\nX-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-        let near = scripted(vec![vec![say(refusal)]]).await;
+        let near = scripted(vec![vec![send_text(refusal)]]).await;
         let far = good("hello").await;
         let (_process, address) = front(&[near.address, far.address]).await;
 
         let came = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
 
-        assert_eq!((came.status(), count(&near), count(&far)), ("200", 1, 1));
+        assert_eq!(
+            (came.status(), received_requests(&near), received_requests(&far)),
+            ("200", 1, 1)
+        );
     });
 }
 
@@ -364,8 +368,8 @@
     run(async {
         let refusal =
             "HTTP/1.1 503 Full\r\nX-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-        let near = scripted(vec![vec![say(refusal)]]).await;
-        let far = scripted(vec![vec![say(refusal)]]).await;
+        let near = scripted(vec![vec![send_text(refusal)]]).await;
+        let far = scripted(vec![vec![send_text(refusal)]]).await;
         let (_process, address) = front(&[near.address, far.address]).await;
 
         let came = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
@@ -396,11 +400,19 @@
     // answer with the first endpoint's head and each event once.
     run(async {
         let torn = format!("{}id: 3\nda", events(1, 2));
-        let near =
-            scripted(vec![vec![say(&stream_head("one")), say(&chunk(&torn)), Act::Reset]]).await;
+        let near = scripted(vec![vec![
+            send_text(&stream_head("one")),
+            send_text(&chunk(&torn)),
+            Act::Reset,
+        ]])
+        .await;
         let rest = chunk(&events(3, 4));
-        let far =
-            scripted(vec![vec![say(&stream_head("two")), say(&rest), say("0\r\n\r\n")]]).await;
+        let far = scripted(vec![vec![
+            send_text(&stream_head("two")),
+            send_text(&rest),
+            send_text("0\r\n\r\n"),
+        ]])
+        .await;
         let (_process, address) = front(&[near.address, far.address]).await;
 
         let came = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
@@ -425,7 +437,7 @@
     run(async {
         let own_failure = "HTTP/1.1 500 Failed\r\nX-Oleandertack-Request-Id: {id}\r\n\
              X-Oleandertack-Response-Seal: one\r\nContent-Length: 0\r\n\r\n";
-        let failing = scripted(vec![vec![say(own_failure)]]).await;
+        let failing = scripted(vec![vec![send_text(own_failure)]]).await;
         let resetting = scripted(vec![vec![Act::Reset]]).await;
         let asked = request("POST", "/stream/a", "r1", "", "prompt");
 
@@ -439,7 +451,7 @@
 
             assert_eq!(counted_usage(&process), 1, "{endpoints:?}");
         }
-        assert_eq!((count(&failing), count(&resetting)), (2, 2));
+        assert_eq!((received_requests(&failing), received_requests(&resetting)), (2, 2));
     });
 }
 
@@ -449,7 +461,7 @@
     run(async {
         let refusal =
             "HTTP/1.1 503 Full\r\nX-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-        let near = scripted(vec![vec![say(refusal)]]).await;
+        let near = scripted(vec![vec![send_text(refusal)]]).await;
         let (process, address) = front(&[near.address]).await;
 
         ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
@@ -461,9 +473,12 @@
 #[test]
 fn a_stream_that_cannot_be_resumed_does_not_look_complete() {
     run(async {
-        let near =
-            scripted(vec![vec![say(&stream_head("one")), say(&chunk(&events(1, 2))), Act::Reset]])
-                .await;
+        let near = scripted(vec![vec![
+            send_text(&stream_head("one")),
+            send_text(&chunk(&events(1, 2))),
+            Act::Reset,
+        ]])
+        .await;
         let (_process, address) = front(&[near.address]).await;
 
         let came = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
@@ -477,10 +492,12 @@
     // The endpoint answers the first request twice. The duplicate arrives where the answer to the second
     // request is expected, and must not be passed to the second caller.
     run(async {
-        let extra = sound("first").replace("{id}", "r1");
-        let endpoint =
-            scripted(vec![vec![say(&sound("first"))], vec![say(&extra), say(&sound("second"))]])
-                .await;
+        let extra = valid_answer("first").replace("{id}", "r1");
+        let endpoint = scripted(vec![
+            vec![send_text(&valid_answer("first"))],
+            vec![send_text(&extra), send_text(&valid_answer("second"))],
+        ])
+        .await;
         let (_process, address) = front(&[endpoint.address]).await;
 
         let first = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
@@ -494,8 +511,8 @@
 #[test]
 fn an_answer_without_a_valid_seal_is_not_passed_on() {
     run(async {
-        let unsealed = sound("hello").replace("X-Oleandertack-Response-Seal: seal\r\n", "");
-        let endpoint = scripted(vec![vec![say(&unsealed)]]).await;
+        let unsealed = valid_answer("hello").replace("X-Oleandertack-Response-Seal: seal\r\n", "");
+        let endpoint = scripted(vec![vec![send_text(&unsealed)]]).await;
         let (_process, address) = front(&[endpoint.address]).await;
 
         let came = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
@@ -513,7 +530,7 @@
         let mut stream = TcpStream::connect(address).await.expect("it listens");
         let text = request("POST", "/once/a", "r1", "", "x");
         stream.write_all(text.as_bytes()).await.expect("written");
-        while count(&endpoint) == 0 {
+        while received_requests(&endpoint) == 0 {
             tokio::task::yield_now().await;
         }
 
@@ -533,7 +550,7 @@
     // While it stops, the process answers with `Connection: close` until the load balancer has removed it.
     // Later requests are refused as not run at once, so that none is cut off when the process ends.
     run(async {
-        let whole = vec![say(&sound("hello"))];
+        let whole = vec![send_text(&valid_answer("hello"))];
         let endpoint =
             scripted(vec![whole.clone(), vec![Act::AwaitClose], whole.clone(), whole]).await;
         let (process, address) = front(&[endpoint.address]).await;
@@ -545,7 +562,7 @@
         let mut long = TcpStream::connect(address).await.expect("it listens");
         let patient = text.replace("Deadline-Ms: 2000", "Deadline-Ms: 6000");
         long.write_all(patient.as_bytes()).await.expect("written");
-        while count(&endpoint) < 2 {
+        while received_requests(&endpoint) < 2 {
             tokio::task::yield_now().await;
         }
         let node = process.node.clone();
--- a/tests/all/paying.rs
+++ b/tests/all/paying.rs
@@ -39,13 +39,13 @@
 
 fn spent(process: &FrontProcess) -> u64 {
     let limits = process.node.limits.borrow();
-    limits.statuses(process.node.clock.lease_now()).map(|(_, stand)| stand.spent).sum()
+    limits.statuses(process.node.clock.lease_now()).map(|(_, status)| status.spent).sum()
 }
 
 /// Guards against accounts that exceed their limit: answered requests were refunded, because none of their attempts
 /// had failed.
 #[test]
-fn a_request_that_was_answered_is_paid_for() {
+fn an_answered_request_is_charged() {
     run(async {
         let good = endpoint(OK_ANSWER).await;
         let (process, address) = limited_front(&[&good]).await;
@@ -62,7 +62,7 @@
 /// Each attempt that may have run counts against the limit. A request that was retried after its endpoint failed was
 /// charged only once.
 #[test]
-fn a_further_attempt_is_paid_for() {
+fn each_attempt_that_may_have_run_is_charged() {
     run(async {
         let near = scripted(vec![vec![Act::Reset]]).await;
         let far = endpoint(OK_ANSWER).await;
@@ -77,7 +77,7 @@
 
 /// A request that every endpoint refused without running it must use nothing of its account's limit.
 #[test]
-fn a_request_that_did_not_run_is_given_back() {
+fn a_request_that_did_not_run_is_refunded() {
     run(async {
         let full = endpoint(NOT_RUN_ANSWER).await;
         let (process, address) = limited_front(&[&full]).await;
@@ -91,7 +91,7 @@
 
 /// A request above the limit is refused at once with a `Retry-After` time, and must not reach an endpoint.
 #[test]
-fn a_request_beyond_the_limit_is_refused_with_the_time_to_come_back() {
+fn a_request_beyond_the_limit_is_refused_with_retry_after() {
     run(async {
         let good = endpoint(OK_ANSWER).await;
         let (_process, address) = limited_front(&[&good]).await;
