--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -203,13 +203,14 @@
         let sent_at = Instant::now();
         self.sent_at = Some(sent_at);
         match self.read_matching_head(target.key, &mut sent, limit).await {
-            Ok((sent, head, mark)) => {
+            Ok((sent, head, answer_head)) => {
                 self.node.meter.count_unread_tokens(work.unread_tokens());
-                let begins_later = mark.is_success() && self.route().shape == AnswerShape::Events;
-                if !mark.not_run && !begins_later {
+                let begins_later =
+                    answer_head.is_success() && self.route().shape == AnswerShape::Events;
+                if !answer_head.not_run && !begins_later {
                     self.record_usage(sent_at.elapsed());
                 }
-                self.handle_answer(target, work, sent, (head, mark)).await
+                self.handle_answer(target, work, sent, (head, answer_head)).await
             }
             Err(fault) => {
                 let may_have_sent = sent.is_none_or(|sent| sent.may_have_sent());
@@ -317,11 +318,11 @@
             let sent = slot.as_mut().ok_or_else(exhausted)?;
             let reading = self.node.run_until_replaced(key, sent.read_head());
             let head = timeout_at(limit, reading).await.map_err(late)?.ok_or_else(ended)??;
-            let mark = self.node.dialect.parse_answer(&head);
+            let answer_head = self.node.dialect.parse_answer(&head);
             let sent = slot.take().ok_or_else(exhausted)?;
-            words::apply_answer_mark(self.node, (key, &mark), (&self.call.id, asked_at));
-            if mark.belongs_to(&self.call.id) {
-                return Ok((sent, head, mark));
+            words::apply_answer_signals(self.node, (key, &answer_head), (&self.call.id, asked_at));
+            if answer_head.belongs_to(&self.call.id) {
+                return Ok((sent, head, answer_head));
             }
             let mut foreign = sent.into_body(&head);
             let reading = async {
@@ -339,20 +340,20 @@
         target: &AttemptTarget,
         work: &mut WorkGuard,
         sent: SentLink,
-        (head, mark): (ResponseHead, AnswerHead),
+        (head, answer_head): (ResponseHead, AnswerHead),
     ) -> AttemptOutcome {
-        let events = self.route().shape == AnswerShape::Events && mark.is_success();
-        if !mark.is_sound(&self.call.id) {
+        let events = self.route().shape == AnswerShape::Events && answer_head.is_success();
+        if !answer_head.is_sound(&self.call.id) {
             self.tried.push(target.key);
             self.note_failure(target, work, AnswerGrade::Bad);
             return AttemptOutcome::Ended(AttemptEnd::Broken, None);
         }
-        let signals_backoff = matches!(mark.backoff, EndpointSignal::Present(_));
+        let signals_backoff = matches!(answer_head.backoff, EndpointSignal::Present(_));
         let body = sent.into_body(&head);
         let (outcome, link) = if events {
             stream::forward_events(self, body, head, work).await
         } else {
-            whole::forward_whole(self, body, head, &mark, target.key).await
+            whole::forward_whole(self, body, head, &answer_head, target.key).await
         };
         match &outcome {
             AttemptOutcome::Delivered => {
@@ -372,7 +373,8 @@
         // A connection to an incarnation that has ended is of no use to the next one.
         let lives = self.node.endpoints.borrow().get(target.key).is_some();
         if let Some(link) = link.filter(|_| lives) {
-            let announced = mark.keep_alive.map(|span| span.duration().mul_f64(IDLE_FRACTION));
+            let announced =
+                answer_head.keep_alive.map(|span| span.duration().mul_f64(IDLE_FRACTION));
             let keep = announced.unwrap_or(IDLE_TIMEOUT);
             self.node.pool.borrow_mut().put(&target.life.instance, link, keep, MAX_IDLE_LINKS);
         }
--- a/crates/front/src/evidence.rs
+++ b/crates/front/src/evidence.rs
@@ -128,7 +128,7 @@
 
     /// Discards the evidence that was not confirmed yet, because it is not reliable: this process itself was delayed, and answers that seemed slow may
     /// have waited here.
-    pub fn withhold(&mut self) {
+    pub fn discard(&mut self) {
         self.seen.clear();
         self.sent.clear();
         self.seen_by_route.clear();
--- a/crates/front/src/mesh/parts.rs
+++ b/crates/front/src/mesh/parts.rs
@@ -18,9 +18,9 @@
 const MAX_PEERS_ASKED: usize = 4;
 
 /// Starts to fetch the missing part of the list, unless a fetch started shortly before. It asks the
-/// process at `first`, which has the list as of `mark`, and others only if that one does not
-/// answer: most of them lack it as well.
-pub(super) fn fetch_list(node: &Rc<FrontNode>, first: SocketAddr, mark: u64) {
+/// process at `first`, which has the list as of `list_revision`, and others only if that one does
+/// not answer: most of them lack it as well.
+pub(super) fn fetch_list(node: &Rc<FrontNode>, first: SocketAddr, list_revision: u64) {
     let now = node.clock.now();
     let mut mesh = node.mesh.borrow_mut();
     if mesh.fetched_at.is_some_and(|at| now - at < FETCH_PERIOD) {
@@ -28,10 +28,10 @@
     }
     mesh.fetched_at = Some(now);
     drop(mesh);
-    actix_rt::spawn(fetch(node.clone(), first, mark));
+    actix_rt::spawn(fetch(node.clone(), first, list_revision));
 }
 
-async fn fetch(node: Rc<FrontNode>, first: SocketAddr, mark: u64) {
+async fn fetch(node: Rc<FrontNode>, first: SocketAddr, list_revision: u64) {
     let mut assembler = PartsAssembler::default();
     let mut request = {
         let status = node.roster.borrow().status(node.clock.now());
@@ -41,7 +41,7 @@
     let mut peer = Some(first);
     let mut asked = 1;
     while let Some(address) = peer.filter(|_| asked <= MAX_PEERS_ASKED) {
-        match fetch_part(&node, address, (&mut assembler, request.clone(), mark)).await {
+        match fetch_part(&node, address, (&mut assembler, request.clone(), list_revision)).await {
             PartStep::RequestAfter(name) => request.after = Some(name),
             PartStep::Joined(parts) => return roster::apply_parts(&node, &parts),
             PartStep::TooOld => {
@@ -56,13 +56,15 @@
 async fn fetch_part(
     node: &FrontNode,
     address: SocketAddr,
-    (assembler, request, mark): (&mut PartsAssembler, PartRequest, u64),
+    (assembler, request, list_revision): (&mut PartsAssembler, PartRequest, u64),
 ) -> PartStep {
     let Some(hub) = node.peers.get() else { return PartStep::TooOld };
     let asked_at = node.clock.now();
     let call = (address.to_string().into(), MeshBody::RequestPart(request));
     match call_peer(node, hub, call, PART_TIMEOUT).await {
-        Some(MeshBody::Part(part)) => assembler.take(*part, mark, (asked_at, node.clock.now())),
+        Some(MeshBody::Part(part)) => {
+            assembler.take(*part, list_revision, (asked_at, node.clock.now()))
+        }
         _ => PartStep::TooOld,
     }
 }
--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -46,7 +46,7 @@
         actix_rt::time::sleep(REPORT_PERIOD.duration()).await;
         let late = node.clock.now() - due_at;
         if late > MAX_WAKE_DELAY {
-            node.evidence.borrow_mut().withhold();
+            node.evidence.borrow_mut().discard();
             event!(node, EvidenceWithheld; "late_ms" => late.0);
         }
     }
--- a/crates/front/src/releases/keep.rs
+++ b/crates/front/src/releases/keep.rs
@@ -62,8 +62,8 @@
         match outcome {
             Ok(()) => {
                 pause = first;
-                if let Some(mark) = from {
-                    apply_orders(&node, &orders, mark, &mut logged);
+                if let Some(list_revision) = from {
+                    apply_orders(&node, &orders, list_revision, &mut logged);
                 }
                 step_orders(&node, &lease).await;
             }
@@ -123,9 +123,14 @@
 }
 
 /// Starts new orders and withdraws those that were changed or removed.
-fn apply_orders(node: &FrontNode, orders: &KnownOrders, mark: u64, logged: &mut BTreeSet<String>) {
+fn apply_orders(
+    node: &FrontNode,
+    orders: &KnownOrders,
+    list_revision: u64,
+    logged: &mut BTreeSet<String>,
+) {
     let now = node.clock.now();
-    node.releases.borrow_mut().read_revision = Some(mark);
+    node.releases.borrow_mut().read_revision = Some(list_revision);
     let mut kept = BTreeSet::new();
     for (name, order) in orders {
         let entry = match order {
--- a/crates/front/src/suspects.rs
+++ b/crates/front/src/suspects.rs
@@ -69,8 +69,8 @@
 pub fn note_broken(node: &Rc<FrontNode>, print: RequestFingerprint, broken: FailedAttempt) {
     let FailedAttempt { life, address, times, may_probe } = broken;
     let now = times.at;
-    let mark = node.crash_watch.borrow_mut().note_broken(print, &life, times);
-    match mark {
+    let attribution = node.crash_watch.borrow_mut().note_broken(print, &life, times);
+    match attribution {
         CrashAttribution::Confirmed => {
             node.suspects
                 .borrow_mut()
--- a/crates/front/src/whole.rs
+++ b/crates/front/src/whole.rs
@@ -18,7 +18,7 @@
     context: &mut CallContext<'_, '_>,
     mut body: BodyLink,
     mut head: ResponseHead,
-    mark: &AnswerHead,
+    answer_head: &AnswerHead,
     key: EndpointKey,
 ) -> (AttemptOutcome, Option<IdleLink>) {
     let mut bytes = BytesMut::new();
@@ -30,13 +30,17 @@
             }
             Some(Ok(None)) => break,
             Some(Ok(Some(_)) | Err(_)) | None => {
-                let end = if mark.not_run { AttemptEnd::RefusedNotRun } else { AttemptEnd::Broken };
+                let end = if answer_head.not_run {
+                    AttemptEnd::RefusedNotRun
+                } else {
+                    AttemptEnd::Broken
+                };
                 return (AttemptOutcome::Ended(end, None), None);
             }
         }
     }
     let link = body.into_idle();
-    if mark.not_run {
+    if answer_head.not_run {
         return (AttemptOutcome::Ended(AttemptEnd::RefusedNotRun, None), link);
     }
     context.node.dialect.strip_answer(head.headers_mut());
--- a/crates/front/src/words.rs
+++ b/crates/front/src/words.rs
@@ -47,27 +47,31 @@
 /// A missing limit header ends a known limit only if the answer belongs to `request` and the
 /// endpoint ran it. An answer to another request arrived late, and refusals and answers of a faulty
 /// endpoint may lack headers that its regular answers carry.
-pub(crate) fn apply_answer_mark(
+pub(crate) fn apply_answer_signals(
     node: &FrontNode,
-    (key, mark): (EndpointKey, &AnswerHead),
+    (key, answer_head): (EndpointKey, &AnswerHead),
     (request, asked_at): (&str, ClockTime),
 ) {
-    if mark.misdirected {
+    if answer_head.misdirected {
         return;
     }
-    apply_leaving(node, key, mark);
-    apply_backoff(node, key, mark);
-    let rate = match &mark.limit {
+    apply_leaving(node, key, answer_head);
+    apply_backoff(node, key, answer_head);
+    let rate = match &answer_head.limit {
         EndpointSignal::Present(rate) => Some(*rate),
-        EndpointSignal::Absent if !mark.not_run && mark.id.as_deref() == Some(request) => None,
+        EndpointSignal::Absent
+            if !answer_head.not_run && answer_head.id.as_deref() == Some(request) =>
+        {
+            None
+        }
         EndpointSignal::Absent => return,
         EndpointSignal::Unreadable(text) => return report_unreadable(node, key, ("limit", text)),
     };
     apply_limit(node, key, (RateSignal { rate, asked_at }, SignalSource::Answer));
 }
 
-fn apply_leaving(node: &FrontNode, key: EndpointKey, mark: &AnswerHead) {
-    match &mark.leaving {
+fn apply_leaving(node: &FrontNode, key: EndpointKey, answer_head: &AnswerHead) {
+    match &answer_head.leaving {
         EndpointSignal::Present(true) => {}
         EndpointSignal::Present(false) | EndpointSignal::Absent => return,
         EndpointSignal::Unreadable(text) => return report_unreadable(node, key, ("leaving", text)),
@@ -96,8 +100,8 @@
     true
 }
 
-fn apply_backoff(node: &FrontNode, key: EndpointKey, mark: &AnswerHead) {
-    let backoff = match &mark.backoff {
+fn apply_backoff(node: &FrontNode, key: EndpointKey, answer_head: &AnswerHead) {
+    let backoff = match &answer_head.backoff {
         EndpointSignal::Present(backoff) => *backoff,
         EndpointSignal::Absent => return,
         EndpointSignal::Unreadable(text) => return report_unreadable(node, key, ("rest", text)),
--- a/tests/all/front.rs
+++ b/tests/all/front.rs
@@ -278,10 +278,10 @@
         let (_process, address) = front(&[endpoint.address]).await;
         let smuggled = "X-Oleandertack-Hold: h-1\r\nKv-From: 1.2.3.4:5/x\r\nX-Custom: kept\r\n";
 
-        let came = ask(address, &request("POST", "/once/a?b=c", "r1", smuggled, "body")).await;
+        let answer = ask(address, &request("POST", "/once/a?b=c", "r1", smuggled, "body")).await;
 
-        assert_eq!(came.status(), "200");
-        assert!(came.has("x-oleandertack-response-seal: seal") && came.text.ends_with("hello"));
+        assert_eq!(answer.status(), "200");
+        assert!(answer.has("x-oleandertack-response-seal: seal") && answer.text.ends_with("hello"));
         let seen = endpoint.seen.borrow();
         let at_endpoint = &seen.requests[0];
         assert!(at_endpoint.head.starts_with("POST /once/a?b=c HTTP/1.1"));
@@ -317,8 +317,8 @@
             ("POST /once/a HTTP/1.1\r\nHost: h\r\n\r\n".to_owned(), "400"),
             ("POST /once/a HT".to_owned(), "408"),
         ] {
-            let came = ask(address, &text).await;
-            assert_eq!(came.status(), status, "{:.60}: {came:?}", text);
+            let answer = ask(address, &text).await;
+            assert_eq!(answer.status(), status, "{:.60}: {answer:?}", text);
         }
 
         assert_eq!(received_requests(&endpoint), 0);
@@ -354,10 +354,10 @@
         let far = good("hello").await;
         let (_process, address) = front(&[near.address, far.address]).await;
 
-        let came = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
+        let answer = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
 
         assert_eq!(
-            (came.status(), received_requests(&near), received_requests(&far)),
+            (answer.status(), received_requests(&near), received_requests(&far)),
             ("200", 1, 1)
         );
     });
@@ -372,10 +372,10 @@
         let far = scripted(vec![vec![send_text(refusal)]]).await;
         let (_process, address) = front(&[near.address, far.address]).await;
 
-        let came = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
+        let answer = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
 
-        assert_eq!(came.status(), "503");
-        assert!(came.has("retry-after: 0."), "{came:?}");
+        assert_eq!(answer.status(), "503");
+        assert!(answer.has("retry-after: 0."), "{answer:?}");
     });
 }
 
@@ -415,10 +415,10 @@
         .await;
         let (_process, address) = front(&[near.address, far.address]).await;
 
-        let came = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
+        let answer = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
 
-        assert!(!came.ended && came.has("seal: one") && !came.has("seal: two"), "{came:?}");
-        let shown: Vec<_> = came.text.lines().filter(|line| line.starts_with("id: ")).collect();
+        assert!(!answer.ended && answer.has("seal: one") && !answer.has("seal: two"), "{answer:?}");
+        let shown: Vec<_> = answer.text.lines().filter(|line| line.starts_with("id: ")).collect();
         assert_eq!(shown, ["id: 1", "id: 2", "id: 3", "id: 4"]);
         assert_eq!(far.seen.borrow().requests[0].header("last-event-id"), Some("2"));
         assert_eq!(far.seen.borrow().requests[0].body, b"prompt");
@@ -481,9 +481,9 @@
         .await;
         let (_process, address) = front(&[near.address]).await;
 
-        let came = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
+        let answer = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
 
-        assert!(came.ended && came.has("id: 2"), "{came:?}");
+        assert!(answer.ended && answer.has("id: 2"), "{answer:?}");
     });
 }
 
@@ -515,9 +515,9 @@
         let endpoint = scripted(vec![vec![send_text(&unsealed)]]).await;
         let (_process, address) = front(&[endpoint.address]).await;
 
-        let came = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
+        let answer = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
 
-        assert_eq!(came.status(), "502");
+        assert_eq!(answer.status(), "502");
     });
 }
 
--- a/tests/all/leaving.rs
+++ b/tests/all/leaving.rs
@@ -39,6 +39,7 @@
     others
 }
 
+/// The longest time of any process.
 fn longest(uses: &[u64]) -> u64 {
     uses.iter().copied().max().unwrap_or_default()
 }
--- a/tests/all/plays.rs
+++ b/tests/all/plays.rs
@@ -381,15 +381,15 @@
         (process.await.expect("it listens"), link)
     }
 
-    /// Kills some processes at one moment, and starts them again after `dark`. The addresses for
-    /// callers change.
-    pub async fn kill(&mut self, killed: &[usize], dark: Duration) {
+    /// Kills some processes at one moment, and starts them again after `downtime`. The addresses
+    /// for callers change.
+    pub async fn kill(&mut self, killed: &[usize], downtime: Duration) {
         let mut kept = Vec::new();
         let processes = std::mem::take(&mut self.processes).into_iter().enumerate();
         for (at, process) in processes {
             kept.push((!killed.contains(&at)).then_some(process));
         }
-        sleep(dark).await;
+        sleep(downtime).await;
         for (at, process) in kept.into_iter().enumerate() {
             let process = match process {
                 Some(process) => process,
@@ -518,6 +518,7 @@
         self.last_times(most, |process| uses(process, name)).await
     }
 
+    /// When a condition last held at each process, in milliseconds from now. Ends after `most`.
     async fn last_times(&self, most: Duration, holds: impl Fn(&FrontProcess) -> bool) -> Vec<u64> {
         let began = Instant::now();
         let mut last = vec![0; self.processes.len()];
@@ -533,6 +534,7 @@
     }
 }
 
+/// Whether a process may send requests to the endpoint `name`.
 fn uses(process: &FrontProcess, name: &str) -> bool {
     let board = process.node.endpoints.borrow();
     board.key(&name.into()).and_then(|key| board.get(key)).is_some_and(|fact| fact.takes_work())
--- a/tests/all/words.rs
+++ b/tests/all/words.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Interval between the requests of the callers at one process.
-const ASK_PERIOD: Duration = Duration::from_millis(60);
+const REQUEST_PERIOD: Duration = Duration::from_millis(60);
 /// Time after the first answer with a limit within which all connected processes must keep to it.
 const PROPAGATION_TIME: Duration = Duration::from_millis(3000);
 
@@ -39,22 +39,23 @@
     /// Sends requests to one process at a fixed rate, without waiting for answers.
     async fn send_requests(self: Rc<Self>, process: usize) {
         // Offsets the callers so that they do not send at the same moments.
-        sleep(ASK_PERIOD * process as u32 / 7).await;
+        sleep(REQUEST_PERIOD * process as u32 / 7).await;
         for number in 0_u64.. {
-            tokio::task::spawn_local(self.clone().ask_once(process, number));
-            sleep(ASK_PERIOD).await;
+            tokio::task::spawn_local(self.clone().send_request(process, number));
+            sleep(REQUEST_PERIOD).await;
         }
     }
 
-    async fn ask_once(self: Rc<Self>, process: usize, number: u64) {
+    /// Sends one request to a process and records the answer.
+    async fn send_request(self: Rc<Self>, process: usize, number: u64) {
         let header = format!("{PROCESS_HEADER}: {process}\r\n");
         let text = request("POST", "/any/a", &format!("w-{process}-{number}"), &header, "x");
         let address = self.addresses.borrow()[process];
-        let Some(came) = try_ask(address, &text).await else { return };
-        if came.status() == "200" {
+        let Some(answer) = try_ask(address, &text).await else { return };
+        if answer.status() == "200" {
             self.answered.set(self.answered.get() + 1);
         } else {
-            self.refused.borrow_mut().push(came.text);
+            self.refused.borrow_mut().push(answer.text);
         }
     }
 }
@@ -90,8 +91,8 @@
     fn assert_rate_used(&self, (count, per_s): (usize, f64), from: Instant) {
         let most = 4.0 * per_s + 2.0;
         for endpoint in self.endpoints.iter().take(count) {
-            let (came, rate) = (endpoint.most_in_window(from) as f64, endpoint.rate(from));
-            assert!(came <= most, "{} got {came} of {most}", endpoint.name);
+            let (received, rate) = (endpoint.most_in_window(from) as f64, endpoint.rate(from));
+            assert!(received <= most, "{} got {received} of {most}", endpoint.name);
             assert!(rate >= 0.8 * per_s, "{} got {rate} a second of {per_s}", endpoint.name);
         }
     }
@@ -242,11 +243,11 @@
             let from = Instant::now();
             test.kill(&[test.group.collector()]).await;
             sleep(Duration::from_millis(2500).saturating_sub(from.elapsed())).await;
-            let came: usize = test.endpoints.iter().map(|one| one.count_since(from)).sum();
+            let received: usize = test.endpoints.iter().map(|one| one.count_since(from)).sum();
 
             // Five of six processes send; six endpoints take 12 requests a second each.
             let expected = 2.5 * 6.0 * 12.0 * 5.0 / 6.0;
-            assert!(came as f64 > 0.7 * expected, "{seed}: {came} of {expected}");
+            assert!(received as f64 > 0.7 * expected, "{seed}: {received} of {expected}");
             sleep(Duration::from_secs(8)).await;
             test.assert_limit_kept((6, 12.0), set_at);
         });
