--- a/crates/claim/src/keeper.rs
+++ b/crates/claim/src/keeper.rs
@@ -143,9 +143,11 @@
     loading: Option<HeadValue>,
     waiting: VecDeque<ClaimRequest>,
     batch: Vec<ClaimRequest>,
+    /// Until when the next batch waits for more claims; none if no batch is being gathered.
     gather_until: Option<ClockTime>,
     /// When the next write is due at the partition's rate, without a burst.
     due_at: ClockTime,
+    /// When the backoff ends that follows a call refused because of the store's rate limit.
     pause_until: ClockTime,
     writes: u64,
     granted: u64,
@@ -303,10 +305,10 @@
         let full = self.waiting.len() >= self.settings.most_batch;
         // Claims are batched only for as long as the store's rate limit makes them wait anyway: an idle
         // partition writes at once, and near the limit each write has more claims.
-        let early = TimeSpan(self.settings.write_interval.0 * self.settings.burst);
-        let paced = self.due_at - early;
-        let until = *self.gather_until.get_or_insert((now + self.settings.linger).max(paced));
-        if now < until && !(full && now >= paced) {
+        let burst_time = TimeSpan(self.settings.write_interval.0 * self.settings.burst);
+        let allowed_at = self.due_at - burst_time;
+        let until = *self.gather_until.get_or_insert((now + self.settings.linger).max(allowed_at));
+        if now < until && !(full && now >= allowed_at) {
             return;
         }
         self.gather_until = None;
@@ -431,6 +433,7 @@
         out.push(ClaimAction::WriteSegment { segment: sealed, bytes });
     }
 
+    /// Writes a head that lists the sealed segment and holds no claims.
     fn switch_head(&mut self, sealed: SegmentName, out: &mut Vec<ClaimAction>) {
         let mut head = HeadValue { segments: self.head.segments.clone(), claims: Vec::new() };
         head.segments.push(sealed);
@@ -459,8 +462,8 @@
         self.reset_state();
     }
 
-    /// Refuses all claim requests, because the store is down. Their requesters must not send; this is safe
-    /// because these claims cannot be granted any more.
+    /// Refuses all claim requests, because the store is down. Their requesters must not send. Refusing
+    /// them is safe because these claims cannot be granted any more.
     fn store_failed(&mut self, out: &mut Vec<ClaimAction>) {
         self.requeue_batch();
         self.reset_state();
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -11,8 +11,8 @@
 impl ClaimKey {
     /// The shard of the key, out of `shards`.
     pub fn shard(self, shards: u32) -> u32 {
-        let head = u32::from_le_bytes([self.0[0], self.0[1], self.0[2], self.0[3]]);
-        head % shards.max(1)
+        let prefix = u32::from_le_bytes([self.0[0], self.0[1], self.0[2], self.0[3]]);
+        prefix % shards.max(1)
     }
 }
 
--- a/crates/duty/src/scale.rs
+++ b/crates/duty/src/scale.rs
@@ -11,8 +11,9 @@
 use oleander_plat::ScaleOrder;
 use std::collections::BTreeMap;
 
-/// The time of an engine's step in ms: the base, and the addition for each stream in it.
+/// The time of an engine's step without its streams.
 const STEP_MS: f64 = 3.27;
+/// The time that each stream adds to a step.
 const STREAM_STEP_MS: f64 = 0.0823;
 /// The target utilization of an engine. Prompts arrive in clusters and vary widely in size; above
 /// about this utilization the wait for the first token exceeds the objective.
@@ -26,7 +27,8 @@
 /// The same factor while the demand is unknown, over the number of endpoints at the start: the loss
 /// of one of three domains leaves that number.
 const UNKNOWN_NEED_FACTOR: f64 = 1.5;
-/// Additional endpoints above that, for rises of demand that are faster than a start.
+/// Reclaimable endpoints in addition to [`RECLAIMABLE_FACTOR`] times the need, for rises of demand
+/// that are faster than a start.
 const RECLAIMABLE_EXTRA: u32 = 1;
 /// How long the highest need counts. Reclaimable endpoints are so cheap that following each wave of
 /// demand down and up costs more in late answers than it saves.
@@ -36,8 +38,8 @@
 const RECENT_PEAK_TIME: TimeSpan = TimeSpan(5000);
 /// The backoff before a domain that refused an order is asked again.
 const REFUSAL_BACKOFF: TimeSpan = TimeSpan(2500);
-/// Domains whose reclaimable endpoints are lost within this time belong to one wave. Two domains
-/// lost 0.6 s apart were followed by the two others 6 s later.
+/// Domains whose reclaimable endpoints are lost within this time belong to one wave of reclaims.
+/// Two domains lost 0.6 s apart were followed by the two others 6 s later.
 const WAVE_TIME: TimeSpan = TimeSpan(3000);
 /// The time beyond the usual start after which an ordered endpoint that does not serve is ordered
 /// again.
@@ -151,6 +153,7 @@
     pub now: ClockTime,
 }
 
+/// Service, failure domain, and whether the order is for reclaimable endpoints.
 type OrderKey = (ServiceName, DomainName, bool);
 
 /// The outcome of an order.
@@ -170,7 +173,7 @@
 struct OrderRecord {
     count: u32,
     at: ClockTime,
-    end: OrderOutcome,
+    outcome: OrderOutcome,
 }
 
 /// The orders sent and the endpoints lost, as far as this duty holder knows.
@@ -195,8 +198,8 @@
     }
 
     /// Records an order and its outcome.
-    pub fn note(&mut self, order: &ScaleOrder, end: OrderOutcome, now: ClockTime) {
-        let past = OrderRecord { count: order.count, at: now, end };
+    pub fn note(&mut self, order: &ScaleOrder, outcome: OrderOutcome, now: ClockTime) {
+        let past = OrderRecord { count: order.count, at: now, outcome };
         self.orders.insert(Self::key(order), past);
     }
 
@@ -218,7 +221,7 @@
     /// while the demand is unknown are no evidence of it: if they counted, more would be ordered
     /// each time.
     fn note_baseline(&mut self, service: &ServiceName, domains: &[DomainStatus]) {
-        let mut made = self.orders.iter().filter(|(_, past)| past.end == OrderOutcome::Made);
+        let mut made = self.orders.iter().filter(|(_, past)| past.outcome == OrderOutcome::Made);
         if made.any(|((name, ..), _)| name == service) {
             return;
         }
@@ -241,29 +244,34 @@
         losses.iter().filter(|at| latest.is_some_and(|latest| latest - **at < WAVE_TIME)).count()
     }
 
-    /// Whether the latest outcome of any domain for reclaimable endpoints was a refusal.
+    /// Whether the last order for reclaimable endpoints was refused in any domain.
     fn was_refused(&self, service: &ServiceName) -> bool {
-        let mut past = self.orders.iter().filter(|((name, _, cheap), _)| name == service && *cheap);
-        past.any(|(_, past)| past.end == OrderOutcome::Refused)
+        let mut past = self
+            .orders
+            .iter()
+            .filter(|((name, _, reclaimable), _)| name == service && *reclaimable);
+        past.any(|(_, past)| past.outcome == OrderOutcome::Refused)
     }
 
     /// The number of endpoints ordered so recently that they may still be starting.
     fn starting(&self, key: &OrderKey, start_timeout: TimeSpan, now: ClockTime) -> u32 {
         let past = self.orders.get(key);
         let recent =
-            past.filter(|past| past.end == OrderOutcome::Made && now - past.at < start_timeout);
+            past.filter(|past| past.outcome == OrderOutcome::Made && now - past.at < start_timeout);
         recent.map_or(0, |past| past.count)
     }
 
     fn refused_recently(&self, key: &OrderKey, now: ClockTime) -> bool {
         let recent = |past: &OrderRecord| now - past.at < REFUSAL_BACKOFF;
-        self.orders.get(key).is_some_and(|past| past.end == OrderOutcome::Refused && recent(past))
+        self.orders
+            .get(key)
+            .is_some_and(|past| past.outcome == OrderOutcome::Refused && recent(past))
     }
 
     /// Whether any domain recently refused reclaimable endpoints of `service`.
     fn any_refused_recently(&self, service: &ServiceName, now: ClockTime) -> bool {
         self.orders.iter().any(|((name, _, reclaimable), past)| {
-            let refused = past.end == OrderOutcome::Refused;
+            let refused = past.outcome == OrderOutcome::Refused;
             name == service && *reclaimable && refused && now - past.at < REFUSAL_BACKOFF
         })
     }
@@ -279,7 +287,7 @@
         let count = order.count;
         match self.orders.get(&Self::key(order)) {
             None => count != live,
-            Some(past) if past.end != OrderOutcome::Made => {
+            Some(past) if past.outcome != OrderOutcome::Made => {
                 count != live && now - past.at >= REFUSAL_BACKOFF
             }
             Some(past) if past.count != count => true,
@@ -326,16 +334,16 @@
 /// The number of endpoints to have in each domain.
 fn wanted_counts(facts: &ScaleInputs<'_>, history: &OrderHistory) -> Vec<MarketCount> {
     // While the demand is unknown: as many as there were, as reclaimable ones.
-    let (needed, calm) = match facts.needed {
+    let (needed, reclaimable) = match facts.needed {
         Some(needed) => {
-            let calm = (needed * RECLAIMABLE_FACTOR).ceil() as u32 + RECLAIMABLE_EXTRA;
-            (facts.needed_now.ceil() as u32, calm)
+            let reclaimable = (needed * RECLAIMABLE_FACTOR).ceil() as u32 + RECLAIMABLE_EXTRA;
+            (facts.needed_now.ceil() as u32, reclaimable)
         }
         None => (facts.baseline, (f64::from(facts.baseline) * UNKNOWN_NEED_FACTOR).ceil() as u32),
     };
     let mut wanted = vec![MarketCount::default(); facts.domains.len()];
     if facts.rule.reclaimable_price.is_some() {
-        spread_reclaimable(facts, calm, &mut wanted);
+        spread_reclaimable(facts, reclaimable, &mut wanted);
     }
     let missing = needed.max(1).saturating_sub(reliable_reclaimable(facts, history));
     spread_on_demand(facts, history, missing, &mut wanted);
--- a/crates/duty/src/usage.rs
+++ b/crates/duty/src/usage.rs
@@ -6,7 +6,7 @@
 /// How long after a window's end its counts are assumed to be complete: a few report periods of 250
 /// ms, and the duration of the last plain request of the window.
 const SETTLE_TIME: TimeSpan = TimeSpan(1500);
-/// How long to wait for a member that has not reported since the window's end, as a part of the
+/// How long to wait for a member that has not reported since the window's end, as a fraction of the
 /// time until the report is due. The rest is for lost answers and a change of the duty holder.
 const WAIT_PART: f64 = 0.45;
 /// The number of windows that a process keeps if nobody reports them: twice the number that can
@@ -67,6 +67,7 @@
 pub struct UsageReporter {
     length: TimeSpan,
     due: TimeSpan,
+    /// Windows up to this number are reported, or too old to be.
     reported: u64,
 }
 
--- a/crates/flow/src/life.rs
+++ b/crates/flow/src/life.rs
@@ -132,8 +132,8 @@
     }
 
     /// The end state of a request that is given up because of `code`. A code that says "not run" is replaced
-    /// if the request may have run: a caller that believed it would send an unsafe request twice, such as one
-    /// for a batch code that is already printed.
+    /// if the request may have run: a caller that relied on it could repeat an unsafe request, such as one for
+    /// a batch code that is already printed.
     fn end_state(&self, code: ResultCode) -> EndState {
         let untouched = !self.facts.may_have_left && !self.facts.may_have_run;
         match (code.says_not_run(), untouched) {
--- a/crates/flow/src/splice.rs
+++ b/crates/flow/src/splice.rs
@@ -35,7 +35,8 @@
         self.attempt = self.attempt.max(attempt);
     }
 
-    /// Decides what to do with a chunk of `tokens` tokens that starts at token `start`.
+    /// Decides what to do with a chunk of `tokens` tokens that starts at token `start`, and counts its tokens as
+    /// delivered if it is to be delivered.
     pub fn judge(&mut self, attempt: u32, start: u64, tokens: u64) -> ChunkVerdict {
         let end = start + tokens;
         if self.whole || attempt != self.attempt || end <= self.delivered {
@@ -64,7 +65,7 @@
     }
 
     /// Whether the answer is complete.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.whole
     }
 }
--- a/crates/front/src/mesh/digest.rs
+++ b/crates/front/src/mesh/digest.rs
@@ -101,7 +101,7 @@
     node.endpoints.borrow_mut().for_each_mut(|fact| {
         let load = by_endpoint.get(&EndpointHash::of(&fact.entry.instance, fact.entry.life));
         let mean = means.get(&fact.entry.service);
-        fact.is_told = load.is_some() || means.is_empty();
+        fact.has_load_reports = load.is_some() || means.is_empty();
         fact.others = match (load, mean) {
             (Some(load), _) => work(load.requests, load.unread_tokens),
             (None, Some(mean)) => work(mean.requests, mean.unread_tokens),
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -3,8 +3,9 @@
 //! [`pool`] limits client accounts at the front processes: a ledger in one process grants
 //! allotments of tokens, and no process admits more than it was granted. [`rate`] splits the
 //! request rate that a limited endpoint accepts among all processes. [`owner`] and [`share`] limit
-//! client accounts at the entries of the project's own protocol: one entry, chosen by rendezvous
-//! hashing, owns an account's limit and grants the other entries shares that expire.
+//! client accounts at the entry processes of the project's own protocol, which the code calls
+//! entries: one entry, chosen by rendezvous hashing, owns an account's limit and grants the other
+//! entries shares that expire.
 
 pub mod owner;
 pub mod pool;
--- a/crates/limit/src/owner.rs
+++ b/crates/limit/src/owner.rs
@@ -41,13 +41,16 @@
 
 #[derive(Debug)]
 struct OwnedAccount {
+    /// Since when entries have reported demand without a gap of [`GRANT_LIFETIME`].
     known_since: ClockTime,
     demands: BTreeMap<InstanceId, OwnedDemand>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct OwnedDemand {
+    /// Requests received since the entry's last report, and requests in flight.
     weight: u64,
+    /// The share granted to the entry, in thousandths.
     granted: u64,
     at: ClockTime,
 }
@@ -73,12 +76,12 @@
         ShareGrant { share_per_mille: granted as u32, lasts: GRANT_LIFETIME }
     }
 
-    /// The number of accounts with live grants.
+    /// The number of accounts for which entries have reported demand.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether no account has a live grant.
+    /// Whether no entry has reported demand.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
--- a/crates/limit/src/pool/account.rs
+++ b/crates/limit/src/pool/account.rs
@@ -18,7 +18,7 @@
 const SPREAD_PART: f64 = 0.25;
 /// The interval between two scans for expired allotments. Until the scan finds them they count as
 /// outstanding.
-const SETTLE_TIME: TimeSpan = TimeSpan(50);
+const EXPIRY_SCAN_INTERVAL: TimeSpan = TimeSpan(50);
 
 /// What the ledger has counted of an account over its window.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -50,7 +50,7 @@
     pub part: f64,
     /// The number of processes that share the limit.
     pub serving: u32,
-    /// The promise that the store holds, while it is binding.
+    /// The promise that the store holds; `None` if it is too old to be binding.
     pub stored: Option<f64>,
     /// The time until more processes count as members, if any will.
     pub more_members_in: Option<TimeSpan>,
@@ -59,6 +59,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct LedgerHolder {
     incarnation: u64,
+    /// The sequence number of its last claim.
     number: u64,
     /// The holder's tokens that are counted in the window.
     counted: u64,
@@ -86,8 +87,8 @@
     total: f64,
     promises: PromiseLog,
     settled_at: ClockTime,
-    /// The previous ledger, whose outstanding allotments are in the window as if spent at this
-    /// time.
+    /// The previous ledger, and the time at which the window counts its outstanding allotments as
+    /// spent.
     prepaid: Option<(u64, ClockTime)>,
     capacity: f64,
     /// The number of seconds in a reported window.
@@ -141,6 +142,8 @@
         // A ledger that may not grant anything yet must not refuse: until then processes admit
         // against their own shares.
         let retry = retry.filter(|_| terms.part > 0.0);
+        // Capacity may be free before tokens leave the window: when more processes count as
+        // members, or when a higher promise becomes binding.
         let sooner = [terms.more_members_in, (promised < room).then_some(PROMISE_LIFETIME)];
         let retry = retry.map(|retry| sooner.into_iter().flatten().fold(retry, TimeSpan::min));
         Ok(PoolAllotment {
@@ -195,7 +198,7 @@
     /// all of it. Drops holders that were silent for a whole window.
     fn settle(&mut self, (length, now): (TimeSpan, ClockTime)) {
         self.window.forget(now - length);
-        if now - self.settled_at < SETTLE_TIME {
+        if now - self.settled_at < EXPIRY_SCAN_INTERVAL {
             return;
         }
         self.settled_at = now;
@@ -229,13 +232,14 @@
             None => self.new_holder(spender, claim, now),
         };
         let before = known.map_or(0.0, |holder| holder.open());
-        // What it admitted under another ledger is counted there, for the processes that belong to
-        // that ledger.
+        // What it admitted under another ledger is counted by that ledger, whose part of the limit
+        // it belongs to.
         let by_this =
             if claim.source == source { claim.spent } else { claim.spent.min(holder.ceiling) };
         let new = by_this.saturating_sub(holder.counted);
         holder.counted = holder.counted.max(claim.spent);
         self.spend(new as f64, now);
+        // A new claim voids earlier answers; a repeated one does not, so the higher ceiling counts.
         let is_repeated = holder.number == claim.number;
         let held = claim.ceiling.max(claim.spent);
         holder.ceiling = if is_repeated { holder.ceiling.max(held) } else { held };
@@ -281,6 +285,7 @@
         }
         let held = claim.ceiling.saturating_sub(claim.spent) as f64;
         if let Some((_, at)) = self.prepaid.filter(|(source, _)| *source == claim.source) {
+            // From now on this counts as outstanding instead of spent.
             self.window.take_back(held, at);
         }
         LedgerHolder { incarnation: spender.life, counted: claim.spent, ..LedgerHolder::default() }
@@ -303,9 +308,9 @@
             return (claim.spent, None);
         };
         let held = claim.ceiling.saturating_sub(claim.spent) as f64;
-        // What the holder has is counted already. If it were revoked because not all processes
-        // count as members yet, callers of all accounts would be refused at each change of the
-        // ledger.
+        // Without free capacity the holder keeps its allotment, which is counted already. If it
+        // were revoked because not all processes count as members yet, callers of all accounts
+        // would be refused at each change of the ledger.
         let room = room.max(0.0);
         let most = held + room;
         let spread = room * SPREAD_PART / f64::from(serving.max(1));
--- a/crates/limit/src/pool/gate.rs
+++ b/crates/limit/src/pool/gate.rs
@@ -25,13 +25,14 @@
 pub struct PoolGate {
     accounts: HashMap<AccountName, GateAccount>,
     /// The ledger of the last accepted answer, and when its claim was sent.
-    bound: Option<(u64, ClockTime)>,
+    last_answer: Option<(u64, ClockTime)>,
     /// When a request was last admitted under an allotment.
     spent_at: Option<ClockTime>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct GateAccount {
+    /// Tokens admitted under allotments since the process began.
     spent: u64,
     /// The part of `spent` that the last claim reported.
     reported_spent: u64,
@@ -99,9 +100,9 @@
         passes
     }
 
-    /// Returns what was admitted for a request that certainly did not run. What was already
-    /// reported to the ledger stays counted: if it were admitted again later, it would leave the
-    /// window too early.
+    /// Returns the tokens of a request that certainly did not run. Tokens that were already
+    /// reported to the ledger stay spent: the ledger counts them from the time of the report, so if
+    /// they were admitted again later, they would leave the window too early.
     pub fn give_back(&mut self, account: &AccountName, tokens: u64) {
         if let Some(state) = self.accounts.get_mut(account)
             && state.spent >= state.reported_spent + tokens
@@ -115,15 +116,15 @@
         self.accounts.get(account).map_or(0, |state| state.held(now))
     }
 
-    /// If the ledger recently had no capacity and must not be asked now, the time until it will
-    /// have some.
+    /// The time until the ledger expects capacity, while this process makes no claims because the
+    /// ledger had none; `None` if it may claim now.
     pub fn full_for(&self, account: &AccountName, now: ClockTime) -> Option<TimeSpan> {
         let state = self.accounts.get(account).filter(|state| state.full_until > now)?;
         Some(state.full_until.max(state.room_at) - now)
     }
 
-    /// Sets the minimum to hold of these accounts to `tokens`; of all others the process holds what
-    /// their spending rate requires.
+    /// Sets to `tokens` what the process holds at least of each of `accounts`. Of all others it
+    /// holds what their spending rate requires.
     pub fn set_min_held(&mut self, accounts: &[AccountName], tokens: u64) {
         self.accounts.values_mut().for_each(|state| state.min_held = 0);
         for account in accounts {
@@ -155,13 +156,13 @@
         if allotment.number != state.number {
             return;
         }
-        self.bound = Some((allotment.source, sent_at));
+        self.last_answer = Some((allotment.source, sent_at));
         state.take(allotment, (sent_at, now));
     }
 
     /// The ledger that last answered this process, if any did.
     pub fn bond(&self, now: ClockTime) -> Option<LastLedger> {
-        let (source, sent_at) = self.bound?;
+        let (source, sent_at) = self.last_answer?;
         let left = sent_at + ALLOTMENT_LIFETIME + ANSWER_TIMEOUT - now;
         Some(LastLedger { source, left, spent_ago: self.spent_at.map(|at| now - at) })
     }
--- a/crates/limit/src/pool/ledger.rs
+++ b/crates/limit/src/pool/ledger.rs
@@ -108,7 +108,7 @@
         self.members.values().filter(counts).count() as u32
     }
 
-    /// The part of `serving` processes that count as members of this ledger.
+    /// The members of this ledger as a part of the `serving` processes, at most 1.
     fn part(&self, serving: u32, now: ClockTime) -> f64 {
         (f64::from(self.member_count(now)) / f64::from(serving.max(1))).min(1.0)
     }
--- a/crates/limit/src/pool/message.rs
+++ b/crates/limit/src/pool/message.rs
@@ -24,8 +24,8 @@
     pub window: TimeSpan,
 }
 
-/// How much longer than the operators' window spending counts: a request reaches its endpoint up to
-/// this much later than its tokens are counted.
+/// The time for which spending counts in addition to the operators' window: a request reaches its
+/// endpoint up to this much later than its tokens are counted.
 const WINDOW_MARGIN: TimeSpan = TimeSpan(400);
 /// The part of the allowed overshoot that the ledger grants: it compensates for the margin of the
 /// window, so that an account at its limit can use all of it.
@@ -46,7 +46,7 @@
         self.overshoot * UNALLOTTED_PART / f64::from(processes.max(1))
     }
 
-    /// How long spending counts.
+    /// How long spent tokens count against the limit: the window and its margin.
     pub fn length(&self) -> TimeSpan {
         self.window + WINDOW_MARGIN
     }
--- a/crates/limit/src/pool/prior.rs
+++ b/crates/limit/src/pool/prior.rs
@@ -25,13 +25,14 @@
 pub enum PriorLedger {
     /// Nothing was granted before: the system starts.
     Absent,
-    /// The previous ledger sent these reports, and may have granted more until it ended. Accounts
-    /// whose report is older than promises are binding, or that were not reported at all, are
-    /// assumed to be at their limit.
+    /// The previous ledger sent these reports, and may have granted more until it ended. An account
+    /// whose report is older than `lasts` is assumed to be at its limit. An account without a
+    /// report is assumed to have spent the smallest promise, or to be at its limit if all reports
+    /// are older than `lasts`.
     Reported {
         /// The reported windows.
         windows: Vec<(AccountName, KnownWindow)>,
-        /// How long promises are binding.
+        /// How long after a report its ledger stays within the promise that the report contains.
         lasts: TimeSpan,
     },
     /// The previous ledger ended in order and left this final state.
--- a/crates/limit/src/pool/promise.rs
+++ b/crates/limit/src/pool/promise.rs
@@ -9,9 +9,9 @@
 use oleander_kind::{ClockTime, TimeSpan};
 use std::collections::VecDeque;
 
-/// A promise binds its ledger from this long after it was made. A process whose last report is
-/// older than this cannot start a ledger from it. The time covers a report period, two late answers
-/// and a change of collector.
+/// How long a reported promise can be relied on: a ledger stays within each promise until a later
+/// one is this old. A process whose last report is older than this cannot start a ledger from it.
+/// The time covers a report period, two late answers and a change of collector.
 pub const PROMISE_LIFETIME: TimeSpan = TimeSpan(1200);
 /// The interval between two promises: one report period.
 const PROMISE_PERIOD: TimeSpan = TimeSpan(250);
--- a/crates/limit/src/pool/window.rs
+++ b/crates/limit/src/pool/window.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Copy, Debug)]
 struct SpendSlot {
     began_at: ClockTime,
-    /// The last spending in the slot. The slot leaves the window by this time, so that no tokens
-    /// leave early.
+    /// The time of the last spending in the slot. The slot stays in the window until this time has
+    /// left it, so that no tokens leave early.
     at: ClockTime,
     tokens: f64,
 }
--- a/crates/limit/src/rate/allocator.rs
+++ b/crates/limit/src/rate/allocator.rs
@@ -8,10 +8,10 @@
 
 /// A process counts as a member from this long after its first report: until then a collector that
 /// it reported to before may still count it and grant leases accordingly.
-const SETTLE_TIME: TimeSpan = TimeSpan(2 * ALLOTMENT_LIFETIME.0);
+const MEMBERSHIP_DELAY: TimeSpan = TimeSpan(2 * ALLOTMENT_LIFETIME.0);
 /// No lease is granted for this long after the first report: holders are selected once all
 /// processes count, since every process that holds a lease even briefly may send a request.
-const STARTUP_DELAY: TimeSpan = TimeSpan(SETTLE_TIME.0 + ANSWER_TIMEOUT.0);
+const STARTUP_DELAY: TimeSpan = TimeSpan(MEMBERSHIP_DELAY.0 + ANSWER_TIMEOUT.0);
 /// A process gets leases for this long after it last received a request for the endpoint's service:
 /// a rate leased to a process without demand is wasted.
 const DEMAND_LIFETIME: TimeSpan = TimeSpan(3000);
@@ -55,6 +55,7 @@
 struct RateMember {
     since: ClockTime,
     heard_at: ClockTime,
+    /// When it last received requests for each service.
     asked: BTreeMap<ServiceName, ClockTime>,
 }
 
@@ -121,9 +122,9 @@
         self.began_at.is_some_and(|at| now >= at + STARTUP_DELAY)
     }
 
-    /// Drops endpoints that no longer set a limit; `named` tells which still do.
-    pub fn keep(&mut self, named: impl Fn(RateKey) -> bool) {
-        self.rates.retain(|key, _| named(*key));
+    /// Drops endpoints that no longer set a limit; `has_limit` tells which still do.
+    pub fn keep(&mut self, has_limit: impl Fn(RateKey) -> bool) {
+        self.rates.retain(|key, _| has_limit(*key));
     }
 
     /// The part of each rate that is allocated here, in 0 to 1, out of `serving` processes that
@@ -193,7 +194,7 @@
 }
 
 fn counts(member: &RateMember, now: ClockTime) -> bool {
-    now - member.heard_at < ALLOTMENT_LIFETIME && now >= member.since + SETTLE_TIME
+    now - member.heard_at < ALLOTMENT_LIFETIME && now >= member.since + MEMBERSHIP_DELAY
 }
 
 /// The total rate that `holders` processes may be granted, in requests a second, so that what each
--- a/crates/limit/src/rate/bucket.rs
+++ b/crates/limit/src/rate/bucket.rs
@@ -3,13 +3,13 @@
 use crate::pool::ALLOTMENT_LIFETIME;
 use oleander_kind::{ClockTime, TimeSpan};
 
-/// How much time's worth of requests a bucket may accumulate besides one whole request: under
-/// demand the next caller arrives within this time.
+/// The time for which a bucket accumulates requests in addition to one whole request: under demand
+/// the next caller arrives within this time.
 pub(super) const BURST_TIME: TimeSpan = TimeSpan(200);
 
-/// What the first lease on an endpoint's incarnation adds, in requests. With nothing, a rate of 0.3
-/// a second stays unused for seconds when processes restart one after another; with a whole
-/// request, changes of holders during report loss exceed the bound.
+/// What the first lease on an endpoint's incarnation adds, in requests. With 0, a rate of 0.3 a
+/// second stays unused for seconds when processes restart one after another; with 1, changes of
+/// holders during report loss exceed the bound on requests.
 const INITIAL_LEVEL: f64 = 0.5;
 
 /// A process's share of an endpoint's rate: one request whenever enough time has passed since the
--- a/crates/limit/src/share.rs
+++ b/crates/limit/src/share.rs
@@ -27,12 +27,14 @@
     },
 }
 
+/// The number of thousandths in a whole: of a share, and of a request or token in a bucket.
 const MILLI: u64 = 1000;
 /// The largest burst, as time at the share's rate.
 const BURST_TIME: TimeSpan = TimeSpan(1000);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct TokenBucket {
+    /// Content of the bucket, in thousandths of a request or token.
     milli: u64,
     filled_at: ClockTime,
 }
@@ -51,6 +53,7 @@
     requests: TokenBucket,
     tokens: TokenBucket,
     in_flight: u32,
+    /// Requests received since the last report.
     asked: u32,
     grant: Option<(ShareGrant, ClockTime)>,
 }
@@ -153,7 +156,8 @@
 
     fn account(&mut self, name: &AccountName, now: ClockTime) -> &mut AccountState {
         self.accounts.entry(name.clone()).or_insert_with(|| AccountState {
-            // More than a second at any rate; `fill` caps it at the share's burst.
+            // Buckets start full: this exceeds a second at any rate, and `fill` caps it at the
+            // share's burst.
             requests: TokenBucket { milli: u64::MAX / 4, filled_at: now },
             tokens: TokenBucket { milli: u64::MAX / 4, filled_at: now },
             in_flight: 0,
--- a/crates/pace/src/lib.rs
+++ b/crates/pace/src/lib.rs
@@ -26,8 +26,8 @@
 
 /// Shorter reads are not sampled: connecting, the first step and the way back take as long.
 const MIN_READ_TOKENS: u64 = 500;
-/// A prompt of this length has a weight of as many tokens; a shorter one has a weight reduced by
-/// the square, a longer one the same weight. A short prompt waits for a step and a chunk of another
+/// A prompt of this length or longer has this weight, in tokens. The weight of a shorter one falls
+/// with the square of its length. A short prompt waits for a step and a chunk of another
 /// prompt, which no process knows of, for as long as its own reading takes: weighted by tokens
 /// alone, with 2,400 tokens per prompt, a busy service's engines seemed to read 44 to 105 tokens a
 /// millisecond instead of 125.
@@ -41,7 +41,7 @@
 /// The half-life of samples: long enough for some dozens of samples at one process, short compared
 /// to a change of the engines' model.
 const HALF_LIFE: TimeSpan = TimeSpan::secs(10);
-/// How long the fastest first token counts as the time that is not reading.
+/// How long the fastest first token counts as the part of a first token's time that is not reading.
 const FLOOR_LIFETIME: TimeSpan = TimeSpan::secs(10);
 /// The upper bound on the part of a first token's time that is not reading: the first step of
 /// present engines takes 16 ms, the network round trip up to 3. Where all prompts are long the
--- a/crates/place/src/board.rs
+++ b/crates/place/src/board.rs
@@ -58,11 +58,11 @@
     pub entry: EndpointEntry,
     /// This process's work there.
     pub own: WorkLoad,
-    /// The other processes' work there, as last reported; the mean of its service if this process
-    /// does not receive reports on it.
+    /// The other processes' work there, as last reported. If this process does not receive reports
+    /// on it, the mean of their work at the endpoints of its service.
     pub others: WorkLoad,
-    /// Whether this process receives reports on the others' work there.
-    pub is_told: bool,
+    /// Whether this process receives reports on the other processes' work there.
+    pub has_load_reports: bool,
     /// Whether it takes requests as an endpoint of a serving version.
     pub serves: bool,
     /// Whether it takes requests as an endpoint of a version that is being rolled out.
@@ -76,8 +76,8 @@
     pub aside: Option<(BadTrait, ClockTime)>,
     /// The signals that it sent about itself.
     pub declared: EndpointSignals,
-    /// Whether it left the list at a time when the store may have lost it by mistake. Such an
-    /// endpoint is used only if there is no other.
+    /// Whether it left the endpoint list at a time when the store may have lost its entry by
+    /// mistake. Such an endpoint is used only if there is no other.
     pub doubted: bool,
 }
 
@@ -104,8 +104,8 @@
     }
 }
 
-/// The number of ended incarnations to remember: more than attempts can be in flight at while they
-/// are reported.
+/// The number of ended incarnations to remember: more than can still have attempts in flight while
+/// they are reported as ended.
 const MAX_ENDED: usize = 256;
 
 /// All endpoints known to this process.
@@ -200,8 +200,8 @@
     }
 
     fn note_signals(&mut self, key: EndpointKey) {
-        let speaks = self.facts.get(key).is_some_and(|fact| fact.declared.is_shared());
-        if speaks && !self.speaking.contains(&key) {
+        let is_shared = self.facts.get(key).is_some_and(|fact| fact.declared.is_shared());
+        if is_shared && !self.speaking.contains(&key) {
             self.speaking.push(key);
         }
     }
@@ -224,7 +224,7 @@
             entry,
             own: WorkLoad::default(),
             others: WorkLoad::default(),
-            is_told: true,
+            has_load_reports: true,
             serves: true,
             is_tried: false,
             health: HealthRecord::default(),
--- a/crates/place/src/choose.rs
+++ b/crates/place/src/choose.rs
@@ -13,8 +13,9 @@
 use oleander_kind::{ClockTime, DomainName, RequestRate, ServiceName, TimeSpan};
 
 /// One in this many repeatable requests may go to an endpoint that is set aside: only answers show
-/// that it has recovered, since health checks cost money and may be wrong. An engine that is set
-/// aside gets one every few seconds; requests that must not be repeated never go there.
+/// that it has recovered, since health checks cost money and may be wrong. At this rate an engine
+/// that is set aside gets a request every few seconds. Requests that must not be repeated never go
+/// there.
 const TRIAL_ONE_IN: u64 = 16;
 const TRIAL_SALT: u64 = 0x7472_6961_6c00_0000;
 
@@ -96,9 +97,9 @@
     let available = eligible_endpoints(board, request)
         .filter(|(_, fact)| fact.declared.is_available(request.lease_now));
     let available: Vec<(EndpointKey, &EndpointFact)> = available.collect();
-    let tries_again =
+    let may_use_aside =
         request.repeatable && mix_bits(request.salt ^ TRIAL_SALT).is_multiple_of(TRIAL_ONE_IN);
-    let is_usable = |fact: &EndpointFact| tries_again || fact.bad_trait(request.now).is_none();
+    let is_usable = |fact: &EndpointFact| may_use_aside || fact.bad_trait(request.now).is_none();
     let healthy = available.iter().filter(|(_, fact)| {
         !fact.health.is_backing_off(request.now) && !fact.doubted && is_usable(fact)
     });
@@ -158,15 +159,16 @@
     request: &PlacementRequest<'_>,
 ) -> Vec<(EndpointKey, &'a EndpointFact)> {
     const SAMPLE: usize = 2;
-    /// Long prompts are few relative to the engines, so two rarely meet at an engine that looked
-    /// idle by stale reports; of eight engines one runs hardly any streams.
+    /// Large enough that one of the engines runs hardly any streams. Long prompts are few relative
+    /// to the engines, so two rarely meet at an engine that looked idle by stale reports.
     const LONG_PROMPT_SAMPLE: usize = 8;
     let own = request.prompt_tokens.saturating_sub(shared_tokens(shared_parts(request.parts)));
     let own = reading_work(own);
     let sample_size = if paused_part(own, request) > 0.0 { LONG_PROMPT_SAMPLE } else { SAMPLE };
     let draw = |fact: &EndpointFact| mix_bits(request.salt ^ fact.entry.instance.stable_hash());
     let mut drawn = candidates;
-    drawn.sort_by_cached_key(|(key, fact)| (Some(*key) != home, !fact.is_told, draw(fact)));
+    drawn
+        .sort_by_cached_key(|(key, fact)| (Some(*key) != home, !fact.has_load_reports, draw(fact)));
     // A limited engine that accepts a request now is idle, and its capacity is lost if no request
     // considers it.
     let limited = drawn
@@ -220,11 +222,11 @@
     let failing = FAILURE_MS * fact.health.failure_share(request.now);
     // Less than a millisecond: only breaks ties, so that equal endpoints share the load.
     let tie = mix_bits(request.salt ^ fact.entry.instance.stable_hash()) as f64 / u64::MAX as f64;
-    let turn = if fact.declared.limit.rate.is_some() { LIMITED_GAIN_MS } else { 0.0 };
+    let gain = if fact.declared.limit.rate.is_some() { LIMITED_GAIN_MS } else { 0.0 };
     let limit =
         fact.declared.limit.rate.map(|rate| (rate, request.now - fact.declared.limit.asked_at));
     (
-        work + crossing + failing + tie - turn,
+        work + crossing + failing + tie - gain,
         PlacementChoice { key, tokens_ahead, held, unread, running: fact.requests(), limit },
     )
 }
--- a/crates/place/src/health.rs
+++ b/crates/place/src/health.rs
@@ -47,11 +47,11 @@
             AnswerGrade::Bad => self.bad += 1.0,
             AnswerGrade::Dead => {
                 self.bad += 1.0;
-                let rest = TimeSpan(MIN_BACKOFF.0 << self.backoffs.min(8)).min(MAX_BACKOFF);
+                let backoff = TimeSpan(MIN_BACKOFF.0 << self.backoffs.min(8)).min(MAX_BACKOFF);
                 // Attempts that began before the first of them failed count as one failure.
                 if now >= self.backoff_until {
                     self.backoffs += 1;
-                    self.backoff_until = now + rest;
+                    self.backoff_until = now + backoff;
                 }
             }
         }
--- a/crates/place/src/shed.rs
+++ b/crates/place/src/shed.rs
@@ -29,8 +29,8 @@
 /// The tokens that may wait ahead of a request of `rank` and `objective` at an engine that reads
 /// `read_per_ms` tokens a millisecond.
 pub fn queue_limit(objective: TimeSpan, rank: u8, read_per_ms: f64) -> u64 {
-    let times = if rank == 0 { URGENT_FACTOR } else { OTHER_FACTOR };
-    (objective.0 as f64 * times / WAIT_FACTOR * read_per_ms) as u64
+    let factor = if rank == 0 { URGENT_FACTOR } else { OTHER_FACTOR };
+    (objective.0 as f64 * factor / WAIT_FACTOR * read_per_ms) as u64
 }
 
 /// The load of a service, as one process sees it.
@@ -52,20 +52,20 @@
 /// as the queues look short, and half a second's work of all processes would arrive at once. The
 /// offered load and the reading speed are known better, so the part follows their ratio, and the
 /// queue only corrects it towards the limit.
-fn admitted_part(pressure: &ServiceLoad, limit: u64) -> f64 {
+fn admitted_part(load: &ServiceLoad, limit: u64) -> f64 {
     /// The target fill of the queue, as a part of what may wait.
     const TARGET_FILL: f64 = 1.0;
     /// Below this part of the target nothing is refused at random.
     const MIN_FILL: f64 = 0.8;
     /// The gain of the correction: a queue half again as long as the target stops all requests.
     const CORRECTION: f64 = 2.0;
-    let most = f64::from(pressure.engines) * limit as f64;
-    let filled = pressure.queue as f64 / most.max(1.0);
+    let most = f64::from(load.engines) * limit as f64;
+    let filled = load.queue as f64 / most.max(1.0);
     if filled < MIN_FILL * TARGET_FILL {
         return 1.0;
     }
-    let read_per_s = f64::from(pressure.engines) * pressure.read_per_ms * 1000.0 / READ_FACTOR;
-    let part = read_per_s / pressure.offered_per_s.max(1.0);
+    let read_per_s = f64::from(load.engines) * load.read_per_ms * 1000.0 / READ_FACTOR;
+    let part = read_per_s / load.offered_per_s.max(1.0);
     (part * (1.0 + CORRECTION * (TARGET_FILL - filled))).clamp(0.0, 1.0)
 }
 
@@ -76,15 +76,15 @@
 /// together do not retry together.
 pub fn shed_delay(
     choice: &PlacementChoice,
-    pressure: &ServiceLoad,
+    load: &ServiceLoad,
     limit: u64,
     salt: u64,
 ) -> Option<TimeSpan> {
-    let lot = mix_bits(salt) as f64 / u64::MAX as f64;
-    if choice.queue() <= limit && lot < admitted_part(pressure, limit) {
+    let draw = mix_bits(salt) as f64 / u64::MAX as f64;
+    if choice.queue() <= limit && draw < admitted_part(load, limit) {
         return None;
     }
-    let wait = (choice.queue() as f64 / pressure.read_per_ms * WAIT_FACTOR) as u64;
+    let wait = (choice.queue() as f64 / load.read_per_ms * WAIT_FACTOR) as u64;
     let wait = wait.max(MIN_RETRY_DELAY.0);
     Some(TimeSpan(wait + salt % wait))
 }
--- a/crates/place/src/signal.rs
+++ b/crates/place/src/signal.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Incarnations whose signals are kept at most: a wave of a large fleet, and the one before.
+/// The most incarnations whose signals are kept: those of two successive waves of a large fleet.
 const MAX_CACHED: usize = 1024;
 
 /// Signals of endpoints that are not listed, the oldest first. The list may lose an entry and bring
--- a/tests/all/claim.rs
+++ b/tests/all/claim.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_key_older_than_the_horizon_is_refused() {
+fn a_key_older_than_the_retention_is_refused() {
     // A day-old key is repeated. Its partition may be removed, so that the claim of the first request could
     // not be found; the key must be refused by the time it carries.
     let settings = ClaimSettings::default();
--- a/tests/all/flow.rs
+++ b/tests/all/flow.rs
@@ -166,7 +166,7 @@
 /// Tries every sequence of events up to `depth` and checks each end state against the facts.
 fn walk(flow: RequestFlow<Admitted>, ran: bool, depth: u32, end_states: &mut u32) {
     if depth == 0 {
-        judge(flow.give_up(ResultCode::NoEndpoint), ran, end_states);
+        check_end_state(flow.give_up(ResultCode::NoEndpoint), ran, end_states);
         return;
     }
     for event in 0..5 {
@@ -181,7 +181,7 @@
         };
         let ran = ran || ran_now;
         match step {
-            NextStep::Ended(end_state) => judge(end_state, ran, end_states),
+            NextStep::Ended(end_state) => check_end_state(end_state, ran, end_states),
             NextStep::Again { flow: next, .. } => {
                 assert!(
                     !ran || next.spec().idempotent,
@@ -203,7 +203,7 @@
     fresh.admit(NOW).expect("before its deadline")
 }
 
-fn judge(end_state: EndState, ran: bool, end_states: &mut u32) {
+fn check_end_state(end_state: EndState, ran: bool, end_states: &mut u32) {
     *end_states += 1;
     if let EndState::Refused(code) = end_state {
         assert!(code.says_not_run());
@@ -221,6 +221,6 @@
 
         walk(admitted(idempotent), false, 5, &mut end_states);
 
-        assert!(end_states > 100, "the walk reached only {end_states} endings");
+        assert!(end_states > 100, "the walk reached only {end_states} end states");
     }
 }
--- a/tests/all/place.rs
+++ b/tests/all/place.rs
@@ -276,7 +276,7 @@
     let mut board = EndpointBoard::default();
     assert!(board.note_leaving(&"i-0".into(), 5));
     board.put(entry(5));
-    assert_eq!(takes_work(&board), Some(false), "it spoke before the list did");
+    assert_eq!(takes_work(&board), Some(false), "its signal arrived before the list's update");
 
     board.put(entry(5));
     board.remove(&"i-0".into());
@@ -286,7 +286,7 @@
 
     board.put(entry(6));
     assert_eq!(takes_work(&board), Some(true));
-    assert!(!board.note_leaving(&"i-0".into(), 5), "it is known");
+    assert!(!board.note_leaving(&"i-0".into(), 5), "the signal is already known");
     assert_eq!(takes_work(&board), Some(true));
 }
 
--- a/tests/all/pool.rs
+++ b/tests/all/pool.rs
@@ -137,7 +137,7 @@
         let turn = self.asked * self.asked * 7 + self.asked;
         // A third of all requests go to the first process.
         let at = if self.asked.is_multiple_of(3) { 0 } else { turn as usize % self.gates.len() };
-        if self.lets_in(at, tokens) {
+        if self.admits(at, tokens) {
             self.spent.push((self.now, tokens));
         } else {
             self.refused += 1;
@@ -146,7 +146,7 @@
 
     /// Whether process `at` admits a request: under its allotment, after a claim to the ledger, or
     /// against its own share.
-    fn lets_in(&mut self, at: usize, tokens: u64) -> bool {
+    fn admits(&mut self, at: usize, tokens: u64) -> bool {
         let (now, rate) = (ClockTime(self.now), self.rate);
         let processes = (self.gates.len() as u32, now);
         if self.gates[at].spend(&account(), tokens, now) {
--- a/tests/all/rates.rs
+++ b/tests/all/rates.rs
@@ -10,8 +10,8 @@
 const STEP: TimeSpan = TimeSpan(10);
 const REPORT_PERIOD: u64 = 250;
 const START: u64 = 1_000_000;
-/// The window over which operators count, in milliseconds.
-const COUNTED: u64 = 4000;
+/// The window over which operators count.
+const COUNTED_MS: u64 = 4000;
 
 /// A mechanism that a simulation disables to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -113,7 +113,7 @@
 
 fn most_in_window(sent: &[u64]) -> usize {
     let count = |(at, first): (usize, &u64)| {
-        sent[at..].iter().take_while(|ms| **ms < first + COUNTED).count()
+        sent[at..].iter().take_while(|ms| **ms < first + COUNTED_MS).count()
     };
     sent.iter().enumerate().map(count).max().unwrap_or_default()
 }
