--- a/crates/claim/src/keeper.rs
+++ b/crates/claim/src/keeper.rs
@@ -316,6 +316,7 @@
         self.write_batch(wall, out);
     }
 
+    /// Writes up to a batch of the waiting claims, and answers those that need no write.
     fn write_batch(&mut self, wall: ClockTime, out: &mut Vec<ClaimAction>) {
         let mut claimed: HashMap<ClaimKey, ClaimRecord> = HashMap::new();
         while self.batch.len() < self.settings.most_batch {
@@ -395,6 +396,7 @@
         out.extend(next.map(|segment| ClaimAction::ReadSegment(*segment)));
     }
 
+    /// Completes a load once all its segments are read.
     fn finish_load(&mut self, out: &mut Vec<ClaimAction>) {
         let KeeperState::ReadingSegment(next) = self.state else {
             return;
--- a/crates/duty/src/scale.rs
+++ b/crates/duty/src/scale.rs
@@ -143,7 +143,7 @@
     pub rule: &'a ScaleRule,
     /// Its state in each failure domain.
     pub domains: &'a [DomainStatus],
-    /// The peak of endpoints needed; `None` while the demand is unknown.
+    /// The peak number of endpoints needed; `None` while the demand is unknown.
     pub needed: Option<f64>,
     /// Endpoints needed now.
     pub needed_now: f64,
--- a/crates/limit/src/rate/allocator.rs
+++ b/crates/limit/src/rate/allocator.rs
@@ -6,7 +6,7 @@
 use oleander_kind::{ClockTime, InstanceId, RequestRate, ServiceName, TimeSpan};
 use std::collections::BTreeMap;
 
-/// A process counts as a member from this long after its first report: until then a collector that
+/// The time from a process's first report until it counts as a member: until then a collector that
 /// it reported to before may still count it and grant leases accordingly.
 const MEMBERSHIP_DELAY: TimeSpan = TimeSpan(2 * ALLOTMENT_LIFETIME.0);
 /// No lease is granted for this long after the first report: holders are selected once all
--- a/crates/place/src/choose.rs
+++ b/crates/place/src/choose.rs
@@ -63,8 +63,8 @@
     pub tokens_ahead: u64,
     /// Tokens of this prompt that it is assumed to have cached.
     pub held: u64,
-    /// The reading work of this prompt, in tokens of a short one: long prompts take more than their
-    /// length.
+    /// The work of reading the part of this prompt that is not cached, in tokens of a short prompt:
+    /// a long one takes more than its length.
     pub unread: u64,
     /// Requests that it already has, as far as this process knows.
     pub running: u32,
--- a/crates/place/src/pause.rs
+++ b/crates/place/src/pause.rs
@@ -8,8 +8,8 @@
 /// Streams that are assumed to have been on time before any ended, so that the first late one
 /// proves nothing.
 const ASSUMED_ON_TIME: f64 = 4.0;
-/// The part of late streams from which pauses get their full weight. Where hardly any stream is
-/// late, long prompts are not the cause.
+/// The fraction of late streams from which on pauses get their full weight. Where hardly any stream
+/// is late, long prompts are not the cause.
 const FULL_WEIGHT_PART: f64 = 0.04;
 
 /// Decayed counts of the streams that ended, and of those that paused for too long.
