--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -110,6 +110,7 @@
         suspects::note_broken(self.node, self.fingerprint, broken);
     }
 
+    /// How long the first part of the answer is expected to take.
     fn expected_wait(&self, choice: &PlacementChoice) -> AnswerWait {
         let read_per_ms = self.node.read_per_ms(&self.service);
         let expected = expected_first_byte(choice, self.is_engine(), read_per_ms);
@@ -121,11 +122,11 @@
     pub(crate) fn note_demand(&self, unread: u64) {
         let first = self.record.sent() == 0;
         let answer = self.call.tokens.map_or(0, |tokens| tokens.answer);
-        let guess = self.call.length_hint.unwrap_or(answer).min(answer.max(1));
+        let expected_answer = self.call.length_hint.unwrap_or(answer).min(answer.max(1));
         self.node.note_demand(&self.service, |demand| {
             demand.requests += u64::from(first);
             demand.unread_tokens += unread;
-            demand.answer_tokens += guess;
+            demand.answer_tokens += expected_answer;
         });
     }
 
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Records the engine's prefill speed when the first event arrives.
+    /// Records a sample of the engine's prefill speed: the time until the first event arrived.
     pub fn note_read(&self) {
         let (Some(choice), Some(sent_at)) = (self.chosen, self.sent_at) else { return };
         if choice.held == 0 && self.call.parts.len() > 1 {
@@ -202,13 +203,14 @@
         let sent_at = Instant::now();
         self.sent_at = Some(sent_at);
         match self.read_matching_head(target.key, &mut sent, limit).await {
-            Ok((sent, head, mark)) => {
+            Ok((sent, head, answer_head)) => {
                 self.node.meter.count_unread_tokens(work.unread_tokens());
-                let begins_later = mark.is_success() && self.route().shape == AnswerShape::Events;
-                if !mark.not_run && !begins_later {
+                let begins_later =
+                    answer_head.is_success() && self.route().shape == AnswerShape::Events;
+                if !answer_head.not_run && !begins_later {
                     self.record_usage(sent_at.elapsed());
                 }
-                self.handle_answer(target, work, sent, (head, mark)).await
+                self.handle_answer(target, work, sent, (head, answer_head)).await
             }
             Err(fault) => {
                 let may_have_sent = sent.is_none_or(|sent| sent.may_have_sent());
@@ -316,11 +318,11 @@
             let sent = slot.as_mut().ok_or_else(exhausted)?;
             let reading = self.node.run_until_replaced(key, sent.read_head());
             let head = timeout_at(limit, reading).await.map_err(late)?.ok_or_else(ended)??;
-            let mark = self.node.dialect.parse_answer(&head);
+            let answer_head = self.node.dialect.parse_answer(&head);
             let sent = slot.take().ok_or_else(exhausted)?;
-            words::apply_answer_mark(self.node, (key, &mark), (&self.call.id, asked_at));
-            if mark.belongs_to(&self.call.id) {
-                return Ok((sent, head, mark));
+            words::apply_answer_signals(self.node, (key, &answer_head), (&self.call.id, asked_at));
+            if answer_head.belongs_to(&self.call.id) {
+                return Ok((sent, head, answer_head));
             }
             let mut foreign = sent.into_body(&head);
             let reading = async {
@@ -338,20 +340,20 @@
         target: &AttemptTarget,
         work: &mut WorkGuard,
         sent: SentLink,
-        (head, mark): (ResponseHead, AnswerHead),
+        (head, answer_head): (ResponseHead, AnswerHead),
     ) -> AttemptOutcome {
-        let events = self.route().shape == AnswerShape::Events && mark.is_success();
-        if !mark.is_sound(&self.call.id) {
+        let events = self.route().shape == AnswerShape::Events && answer_head.is_success();
+        if !answer_head.is_sound(&self.call.id) {
             self.tried.push(target.key);
             self.note_failure(target, work, AnswerGrade::Bad);
             return AttemptOutcome::Ended(AttemptEnd::Broken, None);
         }
-        let asks_for_rest = matches!(mark.backoff, EndpointSignal::Present(_));
+        let signals_backoff = matches!(answer_head.backoff, EndpointSignal::Present(_));
         let body = sent.into_body(&head);
         let (outcome, link) = if events {
             stream::forward_events(self, body, head, work).await
         } else {
-            whole::forward_whole(self, body, head, &mark, target.key).await
+            whole::forward_whole(self, body, head, &answer_head, target.key).await
         };
         match &outcome {
             AttemptOutcome::Delivered => {
@@ -360,7 +362,7 @@
             }
             AttemptOutcome::CallerGone => {}
             // The endpoint is healthy; it has signalled a backoff and says when it accepts requests again.
-            AttemptOutcome::Ended(AttemptEnd::RefusedNotRun, _) if asks_for_rest => {
+            AttemptOutcome::Ended(AttemptEnd::RefusedNotRun, _) if signals_backoff => {
                 self.tried.push(target.key);
             }
             AttemptOutcome::Ended(..) => {
@@ -371,19 +373,21 @@
         // A connection to an incarnation that has ended is of no use to the next one.
         let lives = self.node.endpoints.borrow().get(target.key).is_some();
         if let Some(link) = link.filter(|_| lives) {
-            let announced = mark.keep_alive.map(|span| span.duration().mul_f64(IDLE_FRACTION));
+            let announced =
+                answer_head.keep_alive.map(|span| span.duration().mul_f64(IDLE_FRACTION));
             let keep = announced.unwrap_or(IDLE_TIMEOUT);
             self.node.pool.borrow_mut().put(&target.life.instance, link, keep, MAX_IDLE_LINKS);
         }
         outcome
     }
 
-    /// Records a failure of the endpoint locally and in the evidence that is shared with other processes.
+    /// Counts a failure in the health of the endpoint at this process, and in the evidence for the collector.
     fn note_failure(&self, target: &AttemptTarget, work: &mut WorkGuard, grade: AnswerGrade) {
         self.grade(target.key, grade);
         work.note_failed();
     }
 
+    /// Counts a failed connection or exchange, and logs it.
     fn note_fault(&self, target: &AttemptTarget, work: &mut WorkGuard, fault: &LinkError) {
         let grade = match fault {
             LinkError::ConnectFailed(_) | LinkError::TimedOut(_) => AnswerGrade::Dead,
@@ -398,6 +402,7 @@
             "fault" => fault.to_string());
     }
 
+    /// Updates the health of an endpoint, as this process sees it, by the result of an attempt.
     pub(crate) fn grade(&self, key: EndpointKey, grade: AnswerGrade) {
         let now = self.node.clock.now();
         if let Some(fact) = self.node.endpoints.borrow_mut().get_mut(key) {
--- a/crates/front/src/mesh/digest.rs
+++ b/crates/front/src/mesh/digest.rs
@@ -79,8 +79,9 @@
     allotments.into_iter().for_each(|entry| limits.take(&entry.account, entry.allotment, times));
 }
 
-/// Logs read speeds that differ from the known ones by more than a tenth.
+/// Logs prefill speeds that differ from the known ones by more than a tenth.
 fn log_paces(node: &FrontNode, known: &[ServicePace], news: &[ServicePace]) {
+    /// Smallest relative change that is logged.
     const MIN_LOGGED_CHANGE: f32 = 0.1;
     let known_of = |pace: &ServicePace| known.iter().find(|known| known.service == pace.service);
     let changed = |pace: &&ServicePace| {
@@ -101,7 +102,7 @@
     node.endpoints.borrow_mut().for_each_mut(|fact| {
         let load = by_endpoint.get(&EndpointHash::of(&fact.entry.instance, fact.entry.life));
         let mean = means.get(&fact.entry.service);
-        fact.is_told = load.is_some() || means.is_empty();
+        fact.has_load_reports = load.is_some() || means.is_empty();
         fact.others = match (load, mean) {
             (Some(load), _) => work(load.requests, load.unread_tokens),
             (None, Some(mean)) => work(mean.requests, mean.unread_tokens),
--- a/tests/all/front.rs
+++ b/tests/all/front.rs
@@ -217,7 +217,7 @@
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        if is_whole(&text) {
+        if is_complete(&text) {
             return CallerAnswer { text, ended: false };
         }
         let reading = tokio::time::timeout(Duration::from_secs(10), stream.read_buf(&mut bytes));
@@ -228,7 +228,7 @@
     }
 }
 
-fn is_whole(text: &str) -> bool {
+fn is_complete(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
     let length = head.lines().find_map(|line| {
         let (name, value) = line.split_once(':')?;
@@ -251,12 +251,12 @@
     Some(read_answer(&mut stream).await)
 }
 
-fn say(text: &str) -> Act {
+fn send_text(text: &str) -> Act {
     Act::Say(text.to_owned())
 }
 
 /// A valid answer that carries the id of its request.
-fn sound(body: &str) -> String {
+fn valid_answer(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nX-Oleandertack-Request-Id: {{id}}\r\nX-Oleandertack-Response-Seal: seal\r\n\
          Content-Length: {}\r\n\r\n{body}",
@@ -265,10 +265,11 @@
 }
 
 pub async fn good(body: &str) -> Scripted {
-    scripted(vec![vec![say(&sound(body))]]).await
+    scripted(vec![vec![send_text(&valid_answer(body))]]).await
 }
 
-fn count(endpoint: &Scripted) -> usize {
+/// Number of requests that the endpoint has received.
+fn received_requests(endpoint: &Scripted) -> usize {
     endpoint.seen.borrow().requests.len()
 }
 
@@ -279,10 +280,10 @@
         let (_process, address) = front(&[endpoint.address]).await;
         let smuggled = "X-Oleandertack-Hold: h-1\r\nKv-From: 1.2.3.4:5/x\r\nX-Custom: kept\r\n";
 
-        let came = ask(address, &request("POST", "/once/a?b=c", "r1", smuggled, "body")).await;
+        let answer = ask(address, &request("POST", "/once/a?b=c", "r1", smuggled, "body")).await;
 
-        assert_eq!(came.status(), "200");
-        assert!(came.has("x-oleandertack-response-seal: seal") && came.text.ends_with("hello"));
+        assert_eq!(answer.status(), "200");
+        assert!(answer.has("x-oleandertack-response-seal: seal") && answer.text.ends_with("hello"));
         let seen = endpoint.seen.borrow();
         let at_endpoint = &seen.requests[0];
         assert!(at_endpoint.head.starts_with("POST /once/a?b=c HTTP/1.1"));
@@ -318,11 +319,11 @@
             ("POST /once/a HTTP/1.1\r\nHost: h\r\n\r\n".to_owned(), "400"),
             ("POST /once/a HT".to_owned(), "408"),
         ] {
-            let came = ask(address, &text).await;
-            assert_eq!(came.status(), status, "{:.60}: {came:?}", text);
+            let answer = ask(address, &text).await;
+            assert_eq!(answer.status(), status, "{:.60}: {answer:?}", text);
         }
 
-        assert_eq!(count(&endpoint), 0);
+        assert_eq!(received_requests(&endpoint), 0);
         assert_eq!(ask(address, &request("POST", "/once/a", "r", "", "")).await.status(), "200");
     });
 }
@@ -338,7 +339,7 @@
         let (_process, address) = front(&[near.address, far.address]).await;
 
         let once = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
-        let far_after_once = count(&far);
+        let far_after_once = received_requests(&far);
         let any = ask(address, &request("GET", "/any/a", "r2", "", "")).await;
 
         assert_eq!((once.status(), far_after_once), ("502", 0));
@@ -351,13 +352,16 @@
     run(async {
         let refusal =
             "HTTP/1.1 503 Full\r\nX-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-        let near = scripted(vec![vec![say(refusal)]]).await;
+        let near = scripted(vec![vec![send_text(refusal)]]).await;
         let far = good("hello").await;
         let (_process, address) = front(&[near.address, far.address]).await;
 
-        let came = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
+        let answer = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
 
-        assert_eq!((came.status(), count(&near), count(&far)), ("200", 1, 1));
+        assert_eq!(
+            (answer.status(), received_requests(&near), received_requests(&far)),
+            ("200", 1, 1)
+        );
     });
 }
 
@@ -366,14 +370,14 @@
     run(async {
         let refusal =
             "HTTP/1.1 503 Full\r\nX-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-        let near = scripted(vec![vec![say(refusal)]]).await;
-        let far = scripted(vec![vec![say(refusal)]]).await;
+        let near = scripted(vec![vec![send_text(refusal)]]).await;
+        let far = scripted(vec![vec![send_text(refusal)]]).await;
         let (_process, address) = front(&[near.address, far.address]).await;
 
-        let came = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
+        let answer = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
 
-        assert_eq!(came.status(), "503");
-        assert!(came.has("retry-after: 0."), "{came:?}");
+        assert_eq!(answer.status(), "503");
+        assert!(answer.has("retry-after: 0."), "{answer:?}");
     });
 }
 
@@ -398,17 +402,25 @@
     // answer with the first endpoint's head and each event once.
     run(async {
         let torn = format!("{}id: 3\nda", events(1, 2));
-        let near =
-            scripted(vec![vec![say(&stream_head("one")), say(&chunk(&torn)), Act::Reset]]).await;
+        let near = scripted(vec![vec![
+            send_text(&stream_head("one")),
+            send_text(&chunk(&torn)),
+            Act::Reset,
+        ]])
+        .await;
         let rest = chunk(&events(3, 4));
-        let far =
-            scripted(vec![vec![say(&stream_head("two")), say(&rest), say("0\r\n\r\n")]]).await;
+        let far = scripted(vec![vec![
+            send_text(&stream_head("two")),
+            send_text(&rest),
+            send_text("0\r\n\r\n"),
+        ]])
+        .await;
         let (_process, address) = front(&[near.address, far.address]).await;
 
-        let came = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
+        let answer = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
 
-        assert!(!came.ended && came.has("seal: one") && !came.has("seal: two"), "{came:?}");
-        let shown: Vec<_> = came.text.lines().filter(|line| line.starts_with("id: ")).collect();
+        assert!(!answer.ended && answer.has("seal: one") && !answer.has("seal: two"), "{answer:?}");
+        let shown: Vec<_> = answer.text.lines().filter(|line| line.starts_with("id: ")).collect();
         assert_eq!(shown, ["id: 1", "id: 2", "id: 3", "id: 4"]);
         assert_eq!(far.seen.borrow().requests[0].header("last-event-id"), Some("2"));
         assert_eq!(far.seen.borrow().requests[0].body, b"prompt");
@@ -427,7 +439,7 @@
     run(async {
         let own_failure = "HTTP/1.1 500 Failed\r\nX-Oleandertack-Request-Id: {id}\r\n\
              X-Oleandertack-Response-Seal: one\r\nContent-Length: 0\r\n\r\n";
-        let failing = scripted(vec![vec![say(own_failure)]]).await;
+        let failing = scripted(vec![vec![send_text(own_failure)]]).await;
         let resetting = scripted(vec![vec![Act::Reset]]).await;
         let asked = request("POST", "/stream/a", "r1", "", "prompt");
 
@@ -441,7 +453,7 @@
 
             assert_eq!(counted_usage(&process), 1, "{endpoints:?}");
         }
-        assert_eq!((count(&failing), count(&resetting)), (2, 2));
+        assert_eq!((received_requests(&failing), received_requests(&resetting)), (2, 2));
     });
 }
 
@@ -451,7 +463,7 @@
     run(async {
         let refusal =
             "HTTP/1.1 503 Full\r\nX-Oleandertack-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-        let near = scripted(vec![vec![say(refusal)]]).await;
+        let near = scripted(vec![vec![send_text(refusal)]]).await;
         let (process, address) = front(&[near.address]).await;
 
         ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
@@ -463,14 +475,17 @@
 #[test]
 fn a_stream_that_cannot_be_resumed_does_not_look_complete() {
     run(async {
-        let near =
-            scripted(vec![vec![say(&stream_head("one")), say(&chunk(&events(1, 2))), Act::Reset]])
-                .await;
+        let near = scripted(vec![vec![
+            send_text(&stream_head("one")),
+            send_text(&chunk(&events(1, 2))),
+            Act::Reset,
+        ]])
+        .await;
         let (_process, address) = front(&[near.address]).await;
 
-        let came = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
+        let answer = ask(address, &request("POST", "/stream/a", "r1", "", "prompt")).await;
 
-        assert!(came.ended && came.has("id: 2"), "{came:?}");
+        assert!(answer.ended && answer.has("id: 2"), "{answer:?}");
     });
 }
 
@@ -479,10 +494,12 @@
     // The endpoint answers the first request twice. The duplicate arrives where the answer to the second
     // request is expected, and must not be passed to the second caller.
     run(async {
-        let extra = sound("first").replace("{id}", "r1");
-        let endpoint =
-            scripted(vec![vec![say(&sound("first"))], vec![say(&extra), say(&sound("second"))]])
-                .await;
+        let extra = valid_answer("first").replace("{id}", "r1");
+        let endpoint = scripted(vec![
+            vec![send_text(&valid_answer("first"))],
+            vec![send_text(&extra), send_text(&valid_answer("second"))],
+        ])
+        .await;
         let (_process, address) = front(&[endpoint.address]).await;
 
         let first = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
@@ -496,13 +513,13 @@
 #[test]
 fn an_answer_without_a_valid_seal_is_not_passed_on() {
     run(async {
-        let unsealed = sound("hello").replace("X-Oleandertack-Response-Seal: seal\r\n", "");
-        let endpoint = scripted(vec![vec![say(&unsealed)]]).await;
+        let unsealed = valid_answer("hello").replace("X-Oleandertack-Response-Seal: seal\r\n", "");
+        let endpoint = scripted(vec![vec![send_text(&unsealed)]]).await;
         let (_process, address) = front(&[endpoint.address]).await;
 
-        let came = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
+        let answer = ask(address, &request("POST", "/once/a", "r1", "", "x")).await;
 
-        assert_eq!(came.status(), "502");
+        assert_eq!(answer.status(), "502");
     });
 }
 
@@ -515,7 +532,7 @@
         let mut stream = TcpStream::connect(address).await.expect("it listens");
         let text = request("POST", "/once/a", "r1", "", "x");
         stream.write_all(text.as_bytes()).await.expect("written");
-        while count(&endpoint) == 0 {
+        while received_requests(&endpoint) == 0 {
             tokio::task::yield_now().await;
         }
 
@@ -535,7 +552,7 @@
     // While it stops, the process answers with `Connection: close` until the load balancer has removed it.
     // Later requests are refused as not run at once, so that none is cut off when the process ends.
     run(async {
-        let whole = vec![say(&sound("hello"))];
+        let whole = vec![send_text(&valid_answer("hello"))];
         let endpoint =
             scripted(vec![whole.clone(), vec![Act::AwaitClose], whole.clone(), whole]).await;
         let (process, address) = front(&[endpoint.address]).await;
@@ -547,7 +564,7 @@
         let mut long = TcpStream::connect(address).await.expect("it listens");
         let patient = text.replace("Deadline-Ms: 2000", "Deadline-Ms: 6000");
         long.write_all(patient.as_bytes()).await.expect("written");
-        while count(&endpoint) < 2 {
+        while received_requests(&endpoint) < 2 {
             tokio::task::yield_now().await;
         }
         let node = process.node.clone();
