--- a/crates/call/src/attempt.rs
+++ b/crates/call/src/attempt.rs
@@ -47,7 +47,7 @@
     GiveUp(ResultCode),
 }
 
-/// Maximum number of failed connections per request before a byte was sent.
+/// Maximum number of attempts per request that failed before a byte was sent.
 ///
 /// Each costs up to the connect timeout; after three unreachable endpoints so much time is lost
 /// that the caller is better off with another process.
--- a/crates/call/src/head.rs
+++ b/crates/call/src/head.rs
@@ -66,7 +66,7 @@
     pub rank: Option<u8>,
 }
 
-/// An optional statement of an endpoint about itself in an answer.
+/// A value that an endpoint may announce about itself in an answer, such as its rate limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum EndpointSignal<T> {
     /// The answer does not contain it.
--- a/crates/call/src/rules.rs
+++ b/crates/call/src/rules.rs
@@ -238,17 +238,17 @@
         keys.iter().find(begins).copied()
     }
 
-    /// Returns the client account that owns the key `text`.
+    /// Returns the client account that owns the API key `text`.
     pub fn account_of(&self, text: &str) -> Option<AccountKey> {
         self.by_key.get(text).copied()
     }
 
-    /// Returns the route of a key.
+    /// Returns the route with this route key.
     pub fn route(&self, key: RouteKey) -> &RouteRule {
         &self.routes[key.0 as usize]
     }
 
-    /// Returns the client account of a key.
+    /// Returns the client account with this account key.
     pub fn account(&self, key: AccountKey) -> &AccountRule {
         &self.accounts[key.0 as usize]
     }
--- a/crates/front/src/mesh/make.rs
+++ b/crates/front/src/mesh/make.rs
@@ -59,7 +59,7 @@
         signals_hash: signals_hash(&words::known_signals(node)),
         route_evidence,
         releases: node.releases.borrow().book.followed(),
-        suspects: suspects.next_told(node.clock.now()),
+        suspects: suspects.next_report(node.clock.now()),
         suspects_hash: suspects.shared_hash(),
         inherited_usage: inherited_usage(&mesh, node.clock.now()),
         unreached: mesh.view.unreached(node.clock.now()),
--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -134,7 +134,7 @@
 /// Notes that the collector received the last report.
 fn confirm_report(node: &FrontNode) {
     node.evidence.borrow_mut().confirm_report();
-    node.suspects.borrow_mut().note_taken();
+    node.suspects.borrow_mut().acknowledge_report();
     words::confirm_report(node);
 }
 
--- a/crates/judge/src/verdict.rs
+++ b/crates/judge/src/verdict.rs
@@ -3,8 +3,8 @@
 use crate::aggregate::EvidenceSum;
 use serde::{Deserialize, Serialize};
 
-/// Answers that an endpoint must have to be judged. Those of a large service answer about ten
-/// requests a second.
+/// Answers that an endpoint must have to be judged. An endpoint of a large service answers about
+/// ten requests a second.
 const MIN_ANSWERS: f64 = 6.0;
 /// Answers that an endpoint that is set aside must have; it gets few requests.
 pub const MIN_ANSWERS_ASIDE: f64 = 1.5;
@@ -130,16 +130,15 @@
 
 /// How far the failure rate of `seen` answers may exceed `median_value` through sampling noise.
 fn noise_bound(median_value: f64, seen: f64) -> f64 {
-    let part = median_value.max(MIN_NOISE_RATE);
-    FAILURE_DEVIATIONS * (part * (1.0 - part) / seen.max(1.0)).sqrt()
+    let rate = median_value.max(MIN_NOISE_RATE);
+    FAILURE_DEVIATIONS * (rate * (1.0 - rate) / seen.max(1.0)).sqrt()
 }
 
 fn slowness_excess<K>(one: &ServiceEvidence<K>, baseline: Option<&ServiceBaseline>) -> Option<f64> {
     let was_aside = one.previous == Some(BadTrait::Slow);
     let baseline = baseline?;
-    let has_enough_answers =
-        has_enough_timings(&one) || (was_aside && one.sum.came >= MIN_ANSWERS_ASIDE);
-    let slowness = one.sum.slowness().filter(|_| has_enough_answers)?;
+    let is_judged = has_enough_timings(&one) || (was_aside && one.sum.came >= MIN_ANSWERS_ASIDE);
+    let slowness = one.sum.slowness().filter(|_| is_judged)?;
     let spread = SLOWNESS_DEVIATIONS * baseline.deviation;
     let by_chance = if was_aside { 0.0 } else { SLOWNESS_NOISE / one.sum.came.sqrt() };
     Some((slowness - baseline.median_value) / MIN_SLOWDOWN_LOG2.max(spread).max(by_chance))
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -164,7 +164,7 @@
     ///
     /// An order to an endpoint that ignores fencing takes effect whenever it arrives. It is
     /// therefore only sent with `needed` no shorter than the order's own timeout: the order has
-    /// arrived or was given up before another process can hold the lease.
+    /// arrived or timed out before another process can hold the lease.
     pub fn fence(&self, now: ClockTime, needed: TimeSpan) -> Option<u64> {
         let held = now + needed < self.held_until;
         let mine = self.seen.as_ref().filter(|seen| self.is_mine(&seen.record))?;
@@ -181,12 +181,15 @@
         self.note_call(fence, now)
     }
 
-    /// The same for an expired lease, see [`overdue_fence`](Self::overdue_fence).
+    /// The fencing token for a call sent at `now` under a lease that expired less than `grace` ago;
+    /// see [`overdue_fence`](Self::overdue_fence). Calls are refused as in
+    /// [`fence_for_call`](Self::fence_for_call).
     pub fn fence_for_overdue_call(&mut self, now: ClockTime, grace: TimeSpan) -> Option<u64> {
         let fence = self.overdue_fence(now, grace)?;
         self.note_call(fence, now)
     }
 
+    /// Records a call under `fence`; `None` if it is too soon after a call under another token.
     fn note_call(&mut self, fence: u64, now: ClockTime) -> Option<u64> {
         let is_too_soon = |last: LastCall| last.fence != fence && now - last.at < self.duration;
         if self.last_call.is_some_and(is_too_soon) {
--- a/crates/list/src/changes.rs
+++ b/crates/list/src/changes.rs
@@ -22,8 +22,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChangeLog {
     kept: VecDeque<KnownChange>,
+    /// The number of changes recorded so far, including those no longer kept.
     noted: u64,
-    /// The log is complete for lists at this revision or later.
+    /// The lowest revision from which the log has all later changes.
     floor: u64,
 }
 
--- a/crates/list/src/freshness.rs
+++ b/crates/list/src/freshness.rs
@@ -19,7 +19,8 @@
     pub by: InstanceId,
 }
 
-/// The same for peers: an age replaces the time, because their monotonic clocks differ.
+/// A [`FreshnessStamp`] as sent to peers: it has an age instead of a time, because the monotonic
+/// clocks of two processes differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreshnessNote {
     /// The high-water mark of the data.
@@ -75,9 +76,10 @@
 /// know a change.
 ///
 /// A change made right after the last contact with the store is known within `follower` plus one
-/// call at the latest, whichever process falls silent: 1.2 s and a few milliseconds of 2 s. The
-/// rest covers a slow call (0.25 s) and a delayed process. In normal operation data is at most 0.8
-/// s old: 0.5 s between two answers to the collector plus 0.25 s between two digests.
+/// call at the latest, whichever process falls silent. With a bound of 2 s these are 1.2 s and a
+/// few milliseconds; the rest covers a slow call (0.25 s) and a delayed process. In normal
+/// operation data is at most 0.8 s old: 0.5 s between two answers to the collector plus 0.25 s
+/// between two digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StalenessLimits {
     /// A process that watches the store repeats its call on a new connection. This is the lowest
--- a/crates/list/src/keeper.rs
+++ b/crates/list/src/keeper.rs
@@ -1,4 +1,5 @@
-//! The endpoint list of an entry process, as a pure state machine.
+//! The endpoint list of an entry process, as a pure state machine: it is read from the platform by
+//! a few processes, which forward the changes to the others.
 
 use oleander_kind::hash::{HASH_START, mix_bits, stable_hash};
 use oleander_kind::{ClockTime, EndpointRecord, EndpointStage, InstanceId, TimeSpan};
@@ -45,7 +46,7 @@
     pub digest: u64,
 }
 
-/// One process's replica of the list.
+/// An entry process's replica of the endpoint list.
 #[derive(Debug, Default)]
 pub struct ListReplica {
     records: BTreeMap<InstanceId, EndpointRecord>,
@@ -79,7 +80,7 @@
         self.records.is_empty()
     }
 
-    /// The summary for probes.
+    /// The summary of the list, which probes carry.
     pub fn mark(&self) -> ListSummary {
         self.mark
     }
--- a/crates/list/src/parts.rs
+++ b/crates/list/src/parts.rs
@@ -49,17 +49,17 @@
 
 impl RosterReplica {
     /// Builds the requested part.
-    pub fn part(&self, ask: &PartRequest, now: ClockTime) -> RosterPart {
+    pub fn part(&self, request: &PartRequest, now: ClockTime) -> RosterPart {
         use std::ops::Bound::{Excluded, Unbounded};
-        let changes = ask.since.and_then(|mark| Some((mark, self.changes.after_mark(mark)?)));
+        let changes = request.since.and_then(|mark| Some((mark, self.changes.after_mark(mark)?)));
         let (since, changes) = changes.unzip();
         let gone = |event: FeedEvent| match event {
             FeedEvent::Gone { name, revision } => Some((name, revision)),
             FeedEvent::Put(_) => None,
         };
-        let is_first = ask.after.is_none();
+        let is_first = request.after.is_none();
         let gone = changes.into_iter().flatten().filter(|_| is_first).filter_map(gone).collect();
-        let from = ask.after.as_ref().map_or(Unbounded, Excluded);
+        let from = request.after.as_ref().map_or(Unbounded, Excluded);
         let later = self.items.range::<CompactString, _>((from, Unbounded));
         let objects = later.map(|(_, item)| &item.object);
         let mut remaining =
--- a/crates/list/src/roster.rs
+++ b/crates/list/src/roster.rs
@@ -165,7 +165,7 @@
     pub(crate) doubted_until: Option<ClockTime>,
 }
 
-/// One process's replica of the endpoint list.
+/// A front process's replica of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct RosterReplica {
     pub(crate) items: BTreeMap<CompactString, RosterItem>,
@@ -214,7 +214,8 @@
         self.items.values().map(|item| item.object.clone()).collect()
     }
 
-    /// The doubted endpoints and their deadlines.
+    /// The endpoints that are missing from the store but may return (*doubted*), and their
+    /// deadlines.
     pub fn doubts(&self) -> impl Iterator<Item = (&CompactString, ClockTime)> {
         self.items.iter().filter_map(|(name, item)| Some((name, item.doubted_until?)))
     }
@@ -263,12 +264,14 @@
         }
     }
 
-    /// Whether the list of a process with status `theirs` differs from this one and is newer, or is
-    /// as new and settled while this one is not.
+    /// Whether the list of a process with status `theirs` differs from this one and should replace
+    /// it: it is newer, or as new and without entries that may merely have expired while this one
+    /// may have some.
     pub fn lacks(&self, theirs: &RosterStatus, now: ClockTime) -> bool {
-        let unsure = self.unsettled_until.is_some_and(|until| now < until);
-        let surer = unsure && theirs.unsettled.is_none() && theirs.mark() == self.revision();
-        theirs.sum != self.sum && (surer || theirs.mark() > self.revision())
+        let is_unsettled = self.unsettled_until.is_some_and(|until| now < until);
+        let is_settled_there =
+            is_unsettled && theirs.unsettled.is_none() && theirs.mark() == self.revision();
+        theirs.sum != self.sum && (is_settled_there || theirs.mark() > self.revision())
     }
 
     /// Records a change that belongs to the list at `mark`.
--- a/crates/list/src/update.rs
+++ b/crates/list/src/update.rs
@@ -217,9 +217,9 @@
     /// affected.
     fn note_missing_except(&mut self, objects: &[FeedObject], mark: u64) {
         let named: HashSet<&CompactString> = objects.iter().map(|object| &object.name).collect();
-        let spoken_of = |item: &&RosterItem| item.object.revision <= mark;
+        let is_covered = |item: &&RosterItem| item.object.revision <= mark;
         let missing = |item: &&RosterItem| !named.contains(&item.object.name);
-        let missing = self.replica.items.values().filter(spoken_of).filter(missing);
+        let missing = self.replica.items.values().filter(is_covered).filter(missing);
         let names: Vec<_> = missing.map(|item| item.object.name.clone()).collect();
         names.iter().for_each(|name| self.note_missing(name));
     }
@@ -254,8 +254,8 @@
         self.replica.items.get(name).is_some_and(|item| item.object.revision <= revision)
     }
 
-    /// Applies a change of a peer's list. An entry that the peer removed is gone, or its doubt has
-    /// ended.
+    /// Applies a change of a peer's list. An entry that the peer removed is removed here without a
+    /// doubt: it left, or the peer's doubt about it ended.
     fn apply_peer_change(&mut self, event: &FeedEvent) {
         match event {
             FeedEvent::Put(object) => self.apply_object(object, false),
@@ -337,9 +337,9 @@
             self.replica.changes.begin(freshness.mark);
         }
         merge_newer(&mut self.replica.freshness, freshness);
-        let heard =
+        let confirmed_at =
             self.replica.freshness.as_ref().map(|freshness| freshness.at).unwrap_or_default();
-        let due = self.replica.doubts().filter(|(_, until)| *until <= heard);
+        let due = self.replica.doubts().filter(|(_, until)| *until <= confirmed_at);
         let names: Vec<_> = due.map(|(name, _)| name.clone()).collect();
         names.iter().for_each(|name| self.remove_item(name));
         self.actions
--- a/crates/member/src/table.rs
+++ b/crates/member/src/table.rs
@@ -53,40 +53,42 @@
     pub news: Vec<GossipItem>,
 }
 
-/// Periods and limits.
+/// Timeouts and limits of probes, suspicion and gossip.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberSettings {
     /// A probe that is not answered within this time is repeated through other members.
-    pub direct_limit: TimeSpan,
+    pub direct_timeout: TimeSpan,
     /// A member that is not reached within this time, directly or indirectly, is suspected.
-    pub indirect_limit: TimeSpan,
+    pub indirect_timeout: TimeSpan,
     /// A suspect that is not heard of for this long is declared dead if the list does not show it.
-    pub suspect_limit: TimeSpan,
-    /// The same if the list still shows it, or if the list could not be read.
-    pub listed_limit: TimeSpan,
+    pub suspect_timeout: TimeSpan,
+    /// A suspect that the list still shows is declared dead after this time without news of it; so
+    /// is any suspect if the list could not be read.
+    pub listed_timeout: TimeSpan,
     /// A leaving member is removed after this time.
-    pub forget_limit: TimeSpan,
+    pub leaving_retention: TimeSpan,
     /// A dead member is removed after this time. Until then it is probed like the others, so that
     /// regions that were isolated from each other for minutes find each other again.
-    pub bury_limit: TimeSpan,
+    pub dead_retention: TimeSpan,
     /// The number of members asked for an indirect probe.
     pub helpers: usize,
     /// The most gossip items per message.
     pub max_gossip: usize,
-    /// How often an item is sent, as a multiple of the base-2 logarithm of the number of members. A
-    /// member that misses the item learns of it from a probe to or from the affected member itself.
+    /// How many times an item is sent, as a multiple of the base-2 logarithm of the number of
+    /// members. A member that misses the item learns of it from a probe to or from the affected
+    /// member itself.
     pub repeats: u32,
 }
 
 impl Default for MemberSettings {
     fn default() -> Self {
         MemberSettings {
-            direct_limit: TimeSpan(500),
-            indirect_limit: TimeSpan(1000),
-            suspect_limit: TimeSpan(5000),
-            listed_limit: TimeSpan(30_000),
-            forget_limit: TimeSpan(120_000),
-            bury_limit: TimeSpan::secs(3600),
+            direct_timeout: TimeSpan(500),
+            indirect_timeout: TimeSpan(1000),
+            suspect_timeout: TimeSpan(5000),
+            listed_timeout: TimeSpan(30_000),
+            leaving_retention: TimeSpan(120_000),
+            dead_retention: TimeSpan::secs(3600),
             helpers: 2,
             max_gossip: 8,
             repeats: 1,
@@ -200,7 +202,8 @@
         }
     }
 
-    /// Sets which of our instances the platform's list shows; `None` if it could not be read.
+    /// Sets which instances of entry processes the platform's list shows; `None` if it could not be
+    /// read.
     pub fn set_listed(&mut self, shown: Option<BTreeSet<InstanceId>>) {
         self.listed = shown;
     }
@@ -212,10 +215,10 @@
         self.pending_gossip.insert(self.me.id.clone());
     }
 
-    /// Runs one period: ages open probes and suspects, and probes the next member.
+    /// Runs one period: handles timeouts of probes and suspects, and probes the next member.
     pub fn tick(&mut self, generation: u64, now: ClockTime, random: u64) -> Vec<MemberAction> {
-        let mut actions = self.age_probes(now, random);
-        self.age_suspects(now);
+        let mut actions = self.expire_probes(now, random);
+        self.expire_suspects(now);
         if let Some(target) = self.next_target(random) {
             let number = self.next_number;
             self.next_number += 1;
@@ -305,8 +308,8 @@
         let Some(entry) = self.members.get_mut(&from.id) else {
             return;
         };
-        let same_life = entry.record.incarnation == from.incarnation;
-        if same_life && entry.record.stage == MemberStage::Suspect {
+        let same_incarnation = entry.record.incarnation == from.incarnation;
+        if same_incarnation && entry.record.stage == MemberStage::Suspect {
             entry.record.stage = from.stage;
             entry.changed_at = now;
         }
@@ -321,7 +324,7 @@
         self.pending_gossip.insert(id);
     }
 
-    fn age_probes(&mut self, now: ClockTime, random: u64) -> Vec<MemberAction> {
+    fn expire_probes(&mut self, now: ClockTime, random: u64) -> Vec<MemberAction> {
         let mut actions = Vec::new();
         let numbers: Vec<u64> = self.open.keys().copied().collect();
         for number in numbers {
@@ -329,10 +332,10 @@
                 continue;
             };
             let age = now - probe.sent_at;
-            if age >= self.settings.indirect_limit {
+            if age >= self.settings.indirect_timeout {
                 self.open.remove(&number);
                 self.suspect(&probe.target, now);
-            } else if age >= self.settings.direct_limit && !probe.is_indirect {
+            } else if age >= self.settings.direct_timeout && !probe.is_indirect {
                 if let Some(open) = self.open.get_mut(&number) {
                     open.is_indirect = true;
                 }
@@ -378,20 +381,21 @@
     /// process itself is isolated, and the list lags and lacks new members. A suspect that the list
     /// still shows gets a much longer timeout, and a process with suspects but no member alive
     /// treats itself as isolated: it keeps all members until it reaches one of them again.
-    fn age_suspects(&mut self, now: ClockTime) {
+    fn expire_suspects(&mut self, now: ClockTime) {
         let suspects =
             self.members.values().filter(|e| e.record.stage == MemberStage::Suspect).count();
         let alive = self.members.values().filter(|e| e.record.stage == MemberStage::Alive).count();
-        let cut_off = suspects > 0 && alive == 0;
+        let is_isolated = suspects > 0 && alive == 0;
         let listed = self.listed.clone();
         let settings = self.settings;
         let mut gone = Vec::new();
         for (id, entry) in &mut self.members {
             let age = now - entry.changed_at;
             match entry.record.stage {
-                MemberStage::Suspect if !cut_off => {
+                MemberStage::Suspect if !is_isolated => {
                     let shown = listed.as_ref().is_none_or(|shown| shown.contains(id));
-                    let limit = if shown { settings.listed_limit } else { settings.suspect_limit };
+                    let limit =
+                        if shown { settings.listed_timeout } else { settings.suspect_timeout };
                     if age >= limit {
                         entry.record.stage = MemberStage::Dead;
                         entry.changed_at = now;
@@ -399,8 +403,8 @@
                         self.pending_gossip.insert(id.clone());
                     }
                 }
-                MemberStage::Leaving if age >= settings.forget_limit => gone.push(id.clone()),
-                MemberStage::Dead if age >= settings.bury_limit => gone.push(id.clone()),
+                MemberStage::Leaving if age >= settings.leaving_retention => gone.push(id.clone()),
+                MemberStage::Dead if age >= settings.dead_retention => gone.push(id.clone()),
                 _ => {}
             }
         }
--- a/crates/mesh/src/collector.rs
+++ b/crates/mesh/src/collector.rs
@@ -44,7 +44,7 @@
     pub peaks: Vec<ServicePeak>,
     /// The prefill speed of engines, as known before this process collected.
     pub paces: Vec<ServicePace>,
-    /// Requests during which endpoints ended.
+    /// Requests during which endpoints crashed.
     pub suspects: &'a SuspectTracker,
     /// The lease as last seen.
     pub lease: Option<LeaseNotice>,
@@ -81,6 +81,7 @@
 pub struct MeshCollector {
     /// `None` until the earlier allotments are known, and after the ledger was handed over.
     pub(crate) ledger: Option<PoolLedger>,
+    /// The number of impossible claims since the count was last taken.
     pub(crate) claims_left_out: u64,
     pub(crate) nodes: BTreeMap<InstanceId, ReportedNode>,
     usage: UsageTable,
@@ -308,7 +309,7 @@
         &mut self.rates
     }
 
-    /// Records for which services the reporter got requests since its last report.
+    /// Tells the rate allocator for which services the reporter got requests since its last report.
     fn note_member_demand(&mut self, report: &NodeReport, now: ClockTime) {
         let before = self.previous_demand(report);
         let was_asked = |asked: &&ServiceDemand| {
--- a/crates/mesh/src/evidence.rs
+++ b/crates/mesh/src/evidence.rs
@@ -15,7 +15,7 @@
 /// How long an endpoint stays ejected without enough observations, because no requests reach it or
 /// a new collector has not heard of it yet. After that requests try it again, and it is detected
 /// again within about two seconds if it is still bad.
-const UNPROVED_LIFETIME: TimeSpan = TimeSpan(5000);
+const UNCONFIRMED_LIFETIME: TimeSpan = TimeSpan(5000);
 
 /// An incarnation of an endpoint.
 pub type EndpointIncarnation = (InstanceId, IncarnationTag);
@@ -34,13 +34,14 @@
 #[derive(Clone, Copy, Debug)]
 struct EjectionRecord {
     bad_trait: BadTrait,
-    proved_at: ClockTime,
+    /// When observations last led to the verdict.
+    confirmed_at: ClockTime,
 }
 
 /// Combined observations of all processes, and the endpoints ejected because of them.
 #[derive(Debug, Default)]
 pub struct OutlierDetector {
-    book: EvidenceAggregate<EndpointIncarnation>,
+    aggregate: EvidenceAggregate<EndpointIncarnation>,
     ejected: BTreeMap<EndpointIncarnation, EjectionRecord>,
     judged_at: ClockTime,
 }
@@ -50,7 +51,7 @@
     /// endpoints.
     pub fn begin(verdicts: impl Iterator<Item = EndpointVerdict>, now: ClockTime) -> Self {
         let record = |verdict: EndpointVerdict| {
-            let record = EjectionRecord { bad_trait: verdict.bad_trait, proved_at: now };
+            let record = EjectionRecord { bad_trait: verdict.bad_trait, confirmed_at: now };
             ((verdict.instance, verdict.life), record)
         };
         OutlierDetector { ejected: verdicts.map(record).collect(), ..OutlierDetector::default() }
@@ -83,7 +84,7 @@
         tally: EvidenceTally,
         now: ClockTime,
     ) {
-        self.book.note(endpoint, tally, now);
+        self.aggregate.note(endpoint, tally, now);
     }
 
     /// Whether it is time for the next comparison.
@@ -98,7 +99,7 @@
         now: ClockTime,
     ) -> Vec<VerdictChange> {
         self.judged_at = now;
-        self.book.sweep(now);
+        self.aggregate.sweep(now);
         let mut ejected = BTreeMap::new();
         for endpoints in services {
             self.judge_one(endpoints, now, &mut ejected);
@@ -115,13 +116,13 @@
         let change = |endpoint: &EndpointIncarnation| VerdictChange {
             endpoint: endpoint.clone(),
             bad_trait: is(endpoint),
-            sum: self.book.sum(endpoint, now),
+            sum: self.aggregate.sum(endpoint, now),
         };
         let changes = changed.map(change).collect();
         // An ejected endpoint is judged again only by observations made since; those that led to
         // the ejection would keep it ejected for a quarter of a minute after it has recovered.
-        let proved = self.ejected.iter().filter(|(_, record)| record.proved_at == now);
-        proved.for_each(|(endpoint, _)| self.book.forget(endpoint));
+        let confirmed = self.ejected.iter().filter(|(_, record)| record.confirmed_at == now);
+        confirmed.for_each(|(endpoint, _)| self.aggregate.forget(endpoint));
         changes
     }
 
@@ -133,7 +134,7 @@
     ) {
         let evidence = |at: usize| ServiceEvidence {
             endpoint: at,
-            sum: self.book.sum(&endpoints[at], now),
+            sum: self.aggregate.sum(&endpoints[at], now),
             previous: self.ejected.get(&endpoints[at]).map(|record| record.bad_trait),
         };
         let known: Vec<_> = (0..endpoints.len()).map(evidence).collect();
@@ -143,14 +144,14 @@
             let kept = self
                 .ejected
                 .get(endpoint)
-                .filter(|record| now - record.proved_at < UNPROVED_LIFETIME);
+                .filter(|record| now - record.confirmed_at < UNCONFIRMED_LIFETIME);
             if let Some(record) = kept {
                 ejected.insert(endpoint.clone(), *record);
                 left = left.saturating_sub(1);
             }
         }
         for (at, bad_trait) in judge_service(&known).into_iter().take(left) {
-            ejected.insert(endpoints[at].clone(), EjectionRecord { bad_trait, proved_at: now });
+            ejected.insert(endpoints[at].clone(), EjectionRecord { bad_trait, confirmed_at: now });
         }
     }
 
--- a/crates/mesh/src/limit_message.rs
+++ b/crates/mesh/src/limit_message.rs
@@ -15,10 +15,11 @@
     pub claim: AllotmentClaim,
 }
 
-/// An immediate request of a process whose allotment is nearly used up.
+/// A request for more of an account's limit, sent at once by a process whose allotment is nearly
+/// used up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRequest {
-    /// Its instance.
+    /// The instance of the process.
     #[serde(rename = "i")]
     pub id: InstanceId,
     /// Its incarnation.
--- a/crates/mesh/src/limits.rs
+++ b/crates/mesh/src/limits.rs
@@ -10,8 +10,8 @@
     AllotmentClaim, AllotmentHolder, ClaimFault, PoolAllotment, PoolLedger, PoolLimit, WindowStatus,
 };
 
-/// How long requests admitted under another ledger are counted if no account has a limit. In that
-/// case allotments are only given for requests of roll-outs.
+/// The window in which requests admitted under another ledger count if no account has a limit and
+/// hence a window of its own. In that case allotments are only given for requests of roll-outs.
 const UNLIMITED_WINDOW: TimeSpan = TimeSpan(8400);
 
 impl MeshCollector {
@@ -58,7 +58,7 @@
         context: &CollectorContext<'_>,
     ) -> Vec<AccountAllotment> {
         let Some(claims) = &report.claims else { return Vec::new() };
-        let spender =
+        let holder =
             AllotmentHolder { instance: report.member.id.clone(), life: report.member.life };
         let claims = with_missing_accounts(claims, context);
         if !report.member.leaving
@@ -72,7 +72,7 @@
         let allot = |claim: AccountClaim| {
             let limit = (context.limit_of)(&claim.account)?;
             let known = (&limit, view.serving());
-            let allotment = self.claim(&claim, &spender, known, context.now)?;
+            let allotment = self.claim(&claim, &holder, known, context.now)?;
             Some(AccountAllotment { account: claim.account, allotment })
         };
         claims.into_iter().filter_map(allot).collect()
@@ -86,22 +86,22 @@
         known: (&PoolLimit, u32),
         now: ClockTime,
     ) -> Option<PoolAllotment> {
-        let spender = AllotmentHolder { instance: ask.id.clone(), life: ask.life };
+        let holder = AllotmentHolder { instance: ask.id.clone(), life: ask.life };
         if has_rate(known.0) {
             self.ledger.as_mut()?.note_member(&ask.id, ask.bond, (known.0.length(), now));
         }
-        self.claim(&ask.claim, &spender, known, now)
+        self.claim(&ask.claim, &holder, known, now)
     }
 
     fn claim(
         &mut self,
         claim: &AccountClaim,
-        spender: &AllotmentHolder,
+        holder: &AllotmentHolder,
         known: (&PoolLimit, u32),
         now: ClockTime,
     ) -> Option<PoolAllotment> {
         let ledger = self.ledger.as_mut()?;
-        match ledger.claim(&claim.account, known, (spender, &claim.claim), now) {
+        match ledger.claim(&claim.account, known, (holder, &claim.claim), now) {
             Ok(allotment) => Some(allotment),
             // The answer to this claim was lost, and a later claim has already been answered.
             Err(ClaimFault::Late) => None,
--- a/crates/mesh/src/loads.rs
+++ b/crates/mesh/src/loads.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The mean load of a service's endpoints that are not listed one by one.
+/// The mean load of those endpoints of a service that are not among the most loaded ones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MeanLoad {
     /// The service.
--- a/crates/mesh/src/message.rs
+++ b/crates/mesh/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages. Fields have short names on the wire, because messages are sent several times a
-//! second.
+//! Messages between front processes: reports to the collector, its digests, and other calls. Fields
+//! have short names on the wire, because messages are sent several times a second.
 
 use crate::limit_message::{AccountAllotment, AccountClaim, LedgerHandover, LimitRequest};
 use crate::loads::{EndpointLoad, LoadUpdate};
@@ -244,10 +244,10 @@
     /// Its observations of endpoints since its last report that was answered.
     #[serde(rename = "j", default)]
     pub evidence: Vec<EndpointEvidence>,
-    /// Requests during which endpoints ended, observed since its last report that was answered.
+    /// Requests during which endpoints crashed, observed since its last report that was answered.
     #[serde(rename = "d", default)]
     pub suspects: Vec<SuspectUpdate>,
-    /// A hash of the requests of this kind that it knows from all processes.
+    /// A hash of the requests during which endpoints crashed, as it knows them from all processes.
     #[serde(rename = "k", default)]
     pub suspects_hash: u64,
     /// Observations by route, for services with a roll-out under way.
@@ -324,7 +324,7 @@
     /// The collector's rules, and when the store last confirmed them to any process.
     #[serde(rename = "r")]
     pub rules: RulesStatus,
-    /// The same for the endpoint list.
+    /// The status of the collector's endpoint list.
     #[serde(rename = "e")]
     pub roster: RosterStatus,
     /// The rules, if they are newer than the reporter's.
@@ -360,7 +360,7 @@
     /// Endpoints that perform worse than the others of their service.
     #[serde(rename = "j", default)]
     pub verdicts: Vec<EndpointVerdict>,
-    /// Requests during which endpoints ended, if the report's hash differs.
+    /// Requests during which endpoints crashed, if the report's hash differs.
     #[serde(rename = "k", default)]
     pub suspects: Option<Vec<SuspectUpdate>>,
     /// Signals of endpoints, if the report's hash differs.
--- a/crates/mesh/src/signals.rs
+++ b/crates/mesh/src/signals.rs
@@ -29,8 +29,8 @@
 impl EndpointSignals {
     fn hash(&self) -> u64 {
         let limit = self.limit.map_or(0, |rate| 1 + rate.per_s().to_bits());
-        let said = mix_bits(limit ^ mix_bits(u64::from(self.leaves)));
-        mix_bits(self.instance.stable_hash() ^ mix_bits(self.life) ^ said)
+        let announced = mix_bits(limit ^ mix_bits(u64::from(self.leaves)));
+        mix_bits(self.instance.stable_hash() ^ mix_bits(self.life) ^ announced)
     }
 }
 
--- a/crates/mesh/src/view.rs
+++ b/crates/mesh/src/view.rs
@@ -5,15 +5,16 @@
 use oleander_kind::{ClockTime, InstanceId, TimeSpan};
 use std::collections::{BTreeMap, HashMap};
 
-/// How long a member that did not answer is skipped at first; doubled with each failure. A
-/// restarted member is used again after seconds, and a dead one costs a few timeouts before it is
-/// removed.
-const UNRESPONSIVE_LIFETIME: TimeSpan = TimeSpan(2500);
+/// How long a member that did not answer is not chosen as the collector, at first; doubled with
+/// each failure. A restarted member is used again after seconds, and a dead one costs a few
+/// timeouts before it is removed.
+const INITIAL_SKIP_TIME: TimeSpan = TimeSpan(2500);
 /// A member that nobody has heard of for this long is removed; one that returns announces itself.
 const MEMBER_LIFETIME: TimeSpan = TimeSpan(20_000);
 /// The length of a collector term.
 const TERM_LENGTH: TimeSpan = TimeSpan(5000);
-/// What collecting for about eighty processes uses of a link, in Mbit/s, and of a core.
+/// The bandwidth, in Mbit/s, and the fraction of a core that collecting for about eighty processes
+/// uses.
 const COLLECT_LINK_MBPS: f64 = 7.8;
 const COLLECT_CORES: f64 = 0.03;
 /// The rendezvous key by which members are ranked.
@@ -76,9 +77,9 @@
         if member.id == self.me.id {
             return;
         }
-        let age = |member: &MemberInfo| (member.life, member.edition);
+        let edition = |member: &MemberInfo| (member.life, member.edition);
         let known = self.members.get_mut(&member.id);
-        if let Some(known) = known.filter(|known| age(&known.member) >= age(&member)) {
+        if let Some(known) = known.filter(|known| edition(&known.member) >= edition(&member)) {
             if heard && known.member.life == member.life {
                 known.heard_at = now;
                 self.unresponsive.remove(&member.id);
@@ -121,7 +122,7 @@
     /// Records that a member did not answer.
     pub fn mark_unresponsive(&mut self, id: &InstanceId, now: ClockTime) {
         let times = self.unresponsive.get(id).map_or(0, |unresponsive| unresponsive.times);
-        let until = now + TimeSpan(UNRESPONSIVE_LIFETIME.0 << times.min(2));
+        let until = now + TimeSpan(INITIAL_SKIP_TIME.0 << times.min(2));
         self.unresponsive
             .insert(id.clone(), UnresponsiveMember { since: now, until, times: times + 1 });
     }
@@ -130,9 +131,9 @@
     pub fn unreached(&self, now: ClockTime) -> Vec<InstanceId> {
         /// Longer than it takes to be redirected to one of them.
         const RECENT: TimeSpan = TimeSpan(2000);
-        let lately =
+        let recent =
             self.unresponsive.iter().filter(|(_, unresponsive)| now - unresponsive.since < RECENT);
-        lately.map(|(id, _)| id.clone()).collect()
+        recent.map(|(id, _)| id.clone()).collect()
     }
 
     /// Adopts the collector that another process follows.
@@ -167,14 +168,15 @@
     }
 
     /// The number of processes among which a limit is shared as long as no collector has given
-    /// allotments: the known members, or the number configured in the settings if that is larger.
+    /// allotments: the known members, or `configured`, the number in the settings, if that is
+    /// larger.
     ///
     /// A process that starts knows a few configured peers and soon learns of the rest from them,
     /// but only later from a collector. With the configured peers alone, processes that were all
     /// killed at the same time each admitted the share of a small group, and accounts exceeded
     /// their limits.
-    pub fn limit_sharers(&self, named: u32) -> u32 {
-        self.serving().max(named).max(1)
+    pub fn limit_sharers(&self, configured: u32) -> u32 {
+        self.serving().max(configured).max(1)
     }
 
     /// A hash of the member list.
@@ -279,8 +281,8 @@
 /// The term that every process had entered shortly before `true_now`, as far as clocks agree.
 pub fn settled_term(true_now: ClockTime) -> u64 {
     /// Two reporting periods.
-    const MOMENT: TimeSpan = TimeSpan(500);
-    term_at(true_now - MOMENT)
+    const SETTLE_TIME: TimeSpan = TimeSpan(500);
+    term_at(true_now - SETTLE_TIME)
 }
 
 fn term_at(true_now: ClockTime) -> u64 {
--- a/crates/outlet/src/link.rs
+++ b/crates/outlet/src/link.rs
@@ -171,6 +171,7 @@
         }
     }
 
+    /// Sends or reads some bytes, whichever is possible first.
     async fn progress(&mut self) -> Result<()> {
         self.link.buffer.reserve(READ_SIZE);
         let (mut reader, mut writer) = self.link.stream.split();
@@ -292,8 +293,8 @@
     /// request.
     ///
     /// An endpoint that answered an earlier request twice leaves the second answer where the next
-    /// one is expected. Giving up here would lose a request that must not be repeated, although its
-    /// own answer comes right after.
+    /// one is expected. Without waiting for another answer, a request that must not be repeated
+    /// would be lost, although its own answer comes right after.
     pub fn await_next_answer(self, codec: &HttpCodec) -> Option<SentLink> {
         let whole = matches!(self.framing, BodyFraming::Complete);
         (whole && self.reusable).then(|| SentLink {
--- a/crates/outlet/src/pool.rs
+++ b/crates/outlet/src/pool.rs
@@ -7,7 +7,7 @@
 
 struct PooledLink {
     link: IdleLink,
-    keep: Duration,
+    idle_limit: Duration,
 }
 
 /// Idle connections by endpoint instance.
@@ -22,19 +22,25 @@
     pub fn take(&mut self, instance: &InstanceId) -> Option<IdleLink> {
         let links = self.links.get_mut(instance)?;
         while let Some(pooled) = links.pop() {
-            if pooled.link.idle_for() < pooled.keep && pooled.link.is_reusable() {
+            if pooled.link.idle_for() < pooled.idle_limit && pooled.link.is_reusable() {
                 return Some(pooled.link);
             }
         }
         None
     }
 
-    /// Stores `link` for at most `keep`, unless `max_idle` connections to `instance` are stored
-    /// already.
-    pub fn put(&mut self, instance: &InstanceId, link: IdleLink, keep: Duration, max_idle: usize) {
+    /// Stores `link` for at most `idle_limit`, unless `max_idle` connections to `instance` are
+    /// stored already.
+    pub fn put(
+        &mut self,
+        instance: &InstanceId,
+        link: IdleLink,
+        idle_limit: Duration,
+        max_idle: usize,
+    ) {
         let links = self.links.entry(instance.clone()).or_default();
         if links.len() < max_idle {
-            links.push(PooledLink { link, keep });
+            links.push(PooledLink { link, idle_limit });
         }
     }
 
@@ -48,7 +54,7 @@
     pub fn sweep(&mut self, is_live: impl Fn(&InstanceId) -> bool) {
         self.links.retain(|instance, links| {
             links.retain(|pooled| {
-                pooled.link.idle_for() < pooled.keep
+                pooled.link.idle_for() < pooled.idle_limit
                     && pooled.link.is_reusable()
                     && is_live(instance)
             });
--- a/crates/release/src/comparison.rs
+++ b/crates/release/src/comparison.rs
@@ -142,15 +142,15 @@
         let sums = self.baseline.iter().zip(BASELINE_HALF_LIVES);
         let baseline: Vec<DecayedSum> = sums.map(|(sum, life)| sum.decayed(life, now)).collect();
         let worse = |of: fn(&DecayedSum) -> f64| baseline.iter().map(of).fold(f64::MIN, f64::max);
-        let part = worse(DecayedSum::failure_rate).min(MAX_BASELINE_RATE);
-        let bad_rate = part + MIN_EXCESS_RATE + EXCESS_FACTOR * part;
-        let fail_step = (bad_rate / part).ln();
-        let good_step = ((1.0 - bad_rate) / (1.0 - part)).ln();
-        let baseline_value = worse(DecayedSum::mean_slowness);
+        let baseline_rate = worse(DecayedSum::failure_rate).min(MAX_BASELINE_RATE);
+        let bad_rate = baseline_rate + MIN_EXCESS_RATE + EXCESS_FACTOR * baseline_rate;
+        let fail_step = (bad_rate / baseline_rate).ln();
+        let good_step = ((1.0 - bad_rate) / (1.0 - baseline_rate)).ln();
+        let baseline_slowness = worse(DecayedSum::mean_slowness);
         for (endpoint, tally) in self.pending.drain(..) {
             self.trial_total.add(&tally);
             let (came, failed) = (f64::from(tally.came), f64::from(tally.failed));
-            let excess = f64::from(tally.slowness) - baseline_value * came;
+            let excess = f64::from(tally.slowness) - baseline_slowness * came;
             let slow_step =
                 MIN_SLOWDOWN_LOG2 * excess - came * MIN_SLOWDOWN_LOG2 * MIN_SLOWDOWN_LOG2 / 2.0;
             let known = self.scores.entry(endpoint).or_default();
@@ -173,21 +173,22 @@
         f64::max(sum(|score| score.fails), sum(|score| score.slow))
     }
 
-    /// Whether its total failure rate exceeds what chance explains. Scores decay, so under low load
-    /// a version that is only slightly worse would never reach the bound.
+    /// Whether the total failure rate of the version under trial exceeds what chance explains.
+    /// Scores decay, so under low load a version that is only slightly worse would never reach the
+    /// bound.
     fn total_rate_is_bad(&self) -> bool {
-        let (tried, baseline) = (&self.trial_total, &self.baseline_total);
-        let baseline_value = baseline.failure_rate().max(MIN_BASELINE_RATE);
-        let chance = (baseline_value * (1.0 - baseline_value) / tried.seen.max(1.0)).sqrt();
-        let bound = baseline_value + TOTAL_MARGIN + TOTAL_DEVIATIONS * chance;
-        tried.failed >= MIN_TOTAL_FAILURES && tried.failure_rate() > bound
+        let (trial, baseline) = (&self.trial_total, &self.baseline_total);
+        let baseline_rate = baseline.failure_rate().max(MIN_BASELINE_RATE);
+        let chance = (baseline_rate * (1.0 - baseline_rate) / trial.seen.max(1.0)).sqrt();
+        let bound = baseline_rate + TOTAL_MARGIN + TOTAL_DEVIATIONS * chance;
+        trial.failed >= MIN_TOTAL_FAILURES && trial.failure_rate() > bound
     }
 
     /// Whether the serving version itself has a high failure rate.
     fn baseline_is_failing(&self, now: ClockTime) -> bool {
         let sums = self.baseline.iter().zip(BASELINE_HALF_LIVES);
-        let parts = sums.map(|(sum, life)| sum.decayed(life, now).failure_rate());
-        parts.fold(0.0, f64::max) > MAX_SOUND_BASELINE_RATE
+        let rates = sums.map(|(sum, life)| sum.decayed(life, now).failure_rate());
+        rates.fold(0.0, f64::max) > MAX_SOUND_BASELINE_RATE
     }
 }
 
--- a/crates/release/src/exposure.rs
+++ b/crates/release/src/exposure.rs
@@ -1,9 +1,9 @@
 //! Bounds on the requests that a version may get before it is proven.
 //!
-//! The requests are granted by the ledger that enforces the limits of client accounts, as an
-//! account of its own whose limit grows with the requests of the service. The bound therefore holds
-//! for any demand, any delay or loss of news, and any change or failure of the process that keeps
-//! the ledger, just as those limits do.
+//! Each version under trial has an account of its own in the ledger that enforces the limits of
+//! client accounts. The ledger grants the requests to the version, up to a limit that grows with
+//! the requests of the service. The bound therefore holds for any demand, any delay or loss of
+//! news, and any change or failure of the process that keeps the ledger, just as those limits do.
 
 use oleander_kind::{AccountName, ServiceName, TimeSpan};
 use oleander_limit::PoolLimit;
@@ -49,7 +49,7 @@
     format!("release:{service}:{to}").as_str().into()
 }
 
-/// Returns the limit of that account.
+/// Returns the limit of a version's ledger account: `most` requests in all.
 pub fn exposure_limit(most: f64) -> PoolLimit {
     PoolLimit {
         rate_per_s: 0.0,
--- a/crates/release/src/lib.rs
+++ b/crates/release/src/lib.rs
@@ -19,7 +19,7 @@
 pub use comparison::VersionComparison;
 pub use exposure::{ExposureBounds, TRIAL_GRANTS, exposure_account, exposure_limit};
 pub use order::{OrderEntry, OrderFault, ReleaseOrder, ReleaseState, Result};
-pub use plan::{PlanAction, PlanInputs, PlanReason, ReleasePlan, ReleaseStage};
+pub use plan::{PlanAction, PlanInputs, ReleasePlan, ReleaseStage, RollbackReason};
 pub use routing::{
     AnnouncedStage, ListedVersion, OrderNews, OrderStatus, VersionLane, VersionRouter,
 };
--- a/crates/release/src/plan.rs
+++ b/crates/release/src/plan.rs
@@ -34,12 +34,12 @@
 
 /// Reasons for a roll-back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlanReason {
-    /// Its callers got worse answers.
+pub enum RollbackReason {
+    /// Callers of the version got worse answers than those of the serving version.
     Bad,
-    /// It had too few answers in its time.
+    /// The version had too few answers by the end of the order.
     Undecided,
-    /// It has no endpoints any more.
+    /// The version has no endpoints any more.
     Gone,
     /// The order was withdrawn or cannot be carried out.
     Withdrawn,
@@ -58,7 +58,7 @@
     /// The version gets all requests.
     Completed,
     /// The version gets no requests.
-    RolledBack(PlanReason),
+    RolledBack(RollbackReason),
 }
 
 /// The observations that a step of the plan is based on.
@@ -115,7 +115,7 @@
         let stage = match (written, told.map(|told| &told.stage)) {
             (Some(ReleaseState::Completed), _) => ReleaseStage::Completed,
             (Some(ReleaseState::RolledBack), _) | (_, Some(AnnouncedStage::Back)) => {
-                ReleaseStage::RolledBack(PlanReason::Bad)
+                ReleaseStage::RolledBack(RollbackReason::Bad)
             }
             (_, Some(AnnouncedStage::Moving { full_in })) => {
                 ReleaseStage::Moving { full_at: now + *full_in }
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Returns the state to send to the processes; `sent` requests of the service were sent since
-    /// the order.
+    /// Returns the state of the order as announced to the processes; `sent` requests of the service
+    /// were sent since the order.
     pub fn told(&self, sent: u64, now: ClockTime) -> OrderStatus {
         let stage = match self.stage {
             ReleaseStage::Trying => AnnouncedStage::Trying,
@@ -191,7 +191,7 @@
 
     /// Withdraws the order: the version gets no requests.
     pub fn withdraw(&mut self) {
-        self.enter(ReleaseStage::RolledBack(PlanReason::Withdrawn));
+        self.enter(ReleaseStage::RolledBack(RollbackReason::Withdrawn));
     }
 
     /// Advances the plan and returns the resulting actions.
@@ -209,7 +209,7 @@
             ReleaseStage::RolledBack(_) => ReleaseState::RolledBack,
         };
         let tell = (self.stage != before).then_some(PlanAction::Announce(self.stage));
-        let is_withdrawn = self.stage == ReleaseStage::RolledBack(PlanReason::Withdrawn);
+        let is_withdrawn = self.stage == ReleaseStage::RolledBack(RollbackReason::Withdrawn);
         let write = self.written != Some(wanted) && !is_withdrawn;
         tell.into_iter().chain(write.then_some(PlanAction::Write(wanted))).collect()
     }
@@ -218,19 +218,19 @@
         let tried = TimeSpan((self.order.lasts.0 as f64 * TRIAL_TIME_FRACTION) as u64);
         let is_tried = now - self.began_at >= tried || now + tried >= self.ends_at;
         if self.comparison.is_bad() {
-            self.enter(ReleaseStage::RolledBack(PlanReason::Bad));
+            self.enter(ReleaseStage::RolledBack(RollbackReason::Bad));
         } else if is_tried && inputs.trial_endpoints > 0 && self.comparison.is_sound() {
             self.set_cutover(inputs, now);
         } else if now + DECISION_MARGIN >= self.ends_at {
-            self.enter(ReleaseStage::RolledBack(PlanReason::Undecided));
+            self.enter(ReleaseStage::RolledBack(RollbackReason::Undecided));
         }
     }
 
     fn step_move(&mut self, inputs: &PlanInputs, (full_at, now): (ClockTime, ClockTime)) {
         if self.comparison.is_bad() {
-            self.enter(ReleaseStage::RolledBack(PlanReason::Bad));
+            self.enter(ReleaseStage::RolledBack(RollbackReason::Bad));
         } else if inputs.trial_endpoints == 0 {
-            self.enter(ReleaseStage::RolledBack(PlanReason::Gone));
+            self.enter(ReleaseStage::RolledBack(RollbackReason::Gone));
         } else if now >= full_at && inputs.is_former_idle {
             self.enter(ReleaseStage::Completed);
         } else if now < full_at {
@@ -273,7 +273,8 @@
     }
 }
 
-/// Returns for how long all requests may go to a version that may get `requests` more of them.
+/// Returns for how long a version that may get `requests` more requests can take all of the
+/// service's requests.
 fn full_time(requests: f64, rate_per_s: f64) -> TimeSpan {
     let seconds = requests / (rate_per_s * RATE_MARGIN).max(1.0);
     TimeSpan((seconds * 1000.0) as u64).min(MAX_FULL_TIME)
--- a/crates/release/src/routing.rs
+++ b/crates/release/src/routing.rs
@@ -159,9 +159,9 @@
             self.held.remove(&(told.service.clone(), told.to.clone()));
         }
         for told in news.told.iter().filter(|told| told.stage == AnnouncedStage::Completed) {
-            let open = self.serving.entry(told.service.clone()).or_default();
-            open.clear();
-            open.insert(told.to.clone());
+            let serving_versions = self.serving.entry(told.service.clone()).or_default();
+            serving_versions.clear();
+            serving_versions.insert(told.to.clone());
         }
     }
 
@@ -223,7 +223,7 @@
         self.orders.get(service).is_some_and(KnownOrder::is_moving)
     }
 
-    /// Whether that is so for any service.
+    /// Whether any service has a version that is about to get all of its requests.
     pub fn any_moving(&self) -> bool {
         self.orders.values().any(KnownOrder::is_moving)
     }
@@ -238,15 +238,15 @@
     ) -> bool {
         let is_listed = |version: &CompactString| listed.iter().any(|one| one.version == *version);
         self.held.retain(|(other, version)| other != service || is_listed(version));
-        let mut open = self.serving.remove(service).unwrap_or_default();
-        open.retain(is_listed);
+        let mut serving_versions = self.serving.remove(service).unwrap_or_default();
+        serving_versions.retain(is_listed);
         let mut unknown = Vec::new();
         for one in listed {
-            if open.contains(&one.version) || self.is_governed(service, &one.version) {
+            if serving_versions.contains(&one.version) || self.is_governed(service, &one.version) {
                 continue;
             }
             if self.mark >= one.revision {
-                open.insert(one.version.clone());
+                serving_versions.insert(one.version.clone());
             } else {
                 unknown.push(one);
             }
@@ -254,13 +254,14 @@
         let since = *self.unknown_since.entry(service.clone()).or_insert(now);
         if unknown.is_empty() {
             self.unknown_since.remove(service);
-        } else if open.is_empty() && (unknown.len() == 1 || now - since >= UNKNOWN_VERSION_TIMEOUT)
+        } else if serving_versions.is_empty()
+            && (unknown.len() == 1 || now - since >= UNKNOWN_VERSION_TIMEOUT)
         {
             // A single unknown version serves at once: there is no other to compare it with.
             let oldest = unknown.iter().min_by_key(|one| (one.life, one.revision));
-            open.extend(oldest.map(|one| one.version.clone()));
+            serving_versions.extend(oldest.map(|one| one.version.clone()));
         }
-        self.serving.insert(service.clone(), open);
+        self.serving.insert(service.clone(), serving_versions);
         !unknown.is_empty()
     }
 
@@ -273,7 +274,7 @@
         ordered || self.held.contains(&(service.clone(), version.clone()))
     }
 
-    /// Whether endpoints of a version take requests on a lane.
+    /// Whether endpoints of a version of a service may get requests that are routed on `lane`.
     pub fn takes(
         &self,
         (service, version): (&ServiceName, &CompactString),
@@ -287,28 +288,31 @@
         match lane {
             VersionLane::Trial => self.tried(service) == Some(version),
             VersionLane::Serving => {
-                let is_open = self.serving.get(service).is_some_and(|open| open.contains(version));
+                let is_open = self
+                    .serving
+                    .get(service)
+                    .is_some_and(|serving_versions| serving_versions.contains(version));
                 is_open && !self.is_governed(service, version)
             }
         }
     }
 
     /// Returns the account that must pay for a request to go to the version under trial, or `None`
-    /// if the request goes to the serving versions. `lot` is drawn uniformly from 0 to 1, `share`
-    /// is the trial fraction, `takes` is the expected duration of the answer.
+    /// if the request goes to the serving versions. `random` is drawn uniformly from 0 to 1,
+    /// `share` is the trial fraction, `expected` is the expected duration of the answer.
     pub fn paying_account(
         &self,
         service: &ServiceName,
-        (lot, share): (f64, f64),
-        (takes, now): (TimeSpan, ClockTime),
+        (random, share): (f64, f64),
+        (expected, now): (TimeSpan, ClockTime),
     ) -> Option<AccountName> {
         let order = self.orders.get(service).filter(|order| !order.is_full(now))?;
         let is_wanted = match order.status.stage {
-            AnnouncedStage::Trying => lot < share,
+            AnnouncedStage::Trying => random < share,
             // The request would still be running at the former version when that version must be
             // idle.
             AnnouncedStage::Moving { full_in } => {
-                lot < share * MOVING_TRIAL_FRACTION || now + takes >= order.at + full_in
+                random < share * MOVING_TRIAL_FRACTION || now + expected >= order.at + full_in
             }
             AnnouncedStage::Completed | AnnouncedStage::Back => false,
         };
--- a/crates/suspect/src/attribution.rs
+++ b/crates/suspect/src/attribution.rs
@@ -12,9 +12,10 @@
 /// Crash events from which on a request is a plausible cause of crashes that another request also
 /// shares. Nearly all requests that merely ran beside a culprit have one.
 const PLAUSIBLE_EVENTS: usize = 2;
-/// Crash events that a culprit must not share with any other request that has as many events or one
-/// fewer. Without this and [`REPORT_DELAY`], 8 of 224,377 honest requests were refused in 400
-/// simulations of two requests that crash three endpoints a second of nine; with both, none
+/// The least number of crash events that a culprit must have for itself: those that it shares with
+/// no request that has as many events, more, or one fewer. Without this and [`REPORT_DELAY`], 8 of
+/// 224,377 honest requests were refused in 400 simulations of two requests that crash three
+/// endpoints a second of nine; with both, none
 /// (`suspect::no_honest_request_is_quarantined_beside_culprits`).
 const MIN_EXCLUSIVE_EVENTS: usize = 1;
 /// Requests that always ran together cannot be told apart: one of them is innocent, and each
@@ -61,8 +62,8 @@
         if self.event_count() >= MAX_TIED_EVENTS {
             return true;
         }
-        let is_near = |other: &&Candidate<'_>| other.event_count() + 1 >= self.event_count();
-        let shared = others.clone().filter(is_near).flat_map(Candidate::incarnations).collect();
+        let is_rival = |other: &&Candidate<'_>| other.event_count() + 1 >= self.event_count();
+        let shared = others.clone().filter(is_rival).flat_map(Candidate::incarnations).collect();
         let mut others = others;
         self.event_count_without(&shared) >= MIN_EXCLUSIVE_EVENTS
             && !others.any(|other| self.is_ambiguous_with(other))
--- a/crates/suspect/src/monitor.rs
+++ b/crates/suspect/src/monitor.rs
@@ -82,7 +82,8 @@
         CrashAttribution::Pending
     }
 
-    /// Records that `life` crashed; returns the requests whose attempts broke there.
+    /// Records that the incarnation `life` crashed; returns the requests whose attempts broke there
+    /// and the crash as it counts against each.
     pub fn note_ended(
         &mut self,
         life: &EndpointIncarnation,
--- a/crates/suspect/src/record.rs
+++ b/crates/suspect/src/record.rs
@@ -94,11 +94,11 @@
         ended_at.max(self.answered_at).unwrap_or_default()
     }
 
-    /// Removes expired entries; returns whether anything is left.
+    /// Removes expired crashes and an expired answer; returns whether anything is left.
     pub fn expire(&mut self, now: ClockTime) -> bool {
         self.ends.retain(|end| now - end.at < CRASH_RETENTION);
-        // Kept for longer than it exonerates, so that it reaches processes that were isolated
-        // meanwhile.
+        // The time of the answer is kept for longer than it exonerates the request, so that it
+        // reaches processes that were isolated meanwhile.
         let stale = |at: ClockTime| now - at > TimeSpan(2 * EXONERATION_WINDOW.0);
         self.answered_at = self.answered_at.filter(|at| !stale(*at));
         !self.ends.is_empty() || self.answered_at.is_some()
@@ -106,13 +106,13 @@
 }
 
 /// Counts the events among `crashes`, which are sorted by time; concurrent crashes are one event.
-pub fn count_events<'a>(ends: impl IntoIterator<Item = &'a EndpointCrash>) -> usize {
+pub fn count_events<'a>(crashes: impl IntoIterator<Item = &'a EndpointCrash>) -> usize {
     let mut events = 0;
     let mut first: Option<&EndpointCrash> = None;
-    for end in ends {
-        if first.is_none_or(|first| end.at - first.at > EVENT_WINDOW || end.is_after(first)) {
+    for crash in crashes {
+        if first.is_none_or(|first| crash.at - first.at > EVENT_WINDOW || crash.is_after(first)) {
             events += 1;
-            first = Some(end);
+            first = Some(crash);
         }
     }
     events
--- a/crates/suspect/src/tracker.rs
+++ b/crates/suspect/src/tracker.rs
@@ -82,13 +82,13 @@
 
 impl SuspectTracker {
     /// Records that an endpoint crashed while it ran a request.
-    pub fn record_crash(&mut self, fingerprint: RequestFingerprint, end: EndpointCrash) {
+    pub fn record_crash(&mut self, fingerprint: RequestFingerprint, crash: EndpointCrash) {
         let answered_at = self.answers.at(&fingerprint);
         let record = self.records.entry(fingerprint).or_default();
         if let Some(at) = answered_at {
             record.note_answer(at);
         }
-        if record.record_crash(end) {
+        if record.record_crash(crash) {
             self.unreported.insert(fingerprint);
         }
     }
@@ -124,9 +124,9 @@
         {
             self.unreported.insert(fingerprint);
         }
-        for end in update.ends.iter().filter(|end| end.age < CRASH_RETENTION) {
-            let (life, at) = (end.life.clone(), now - end.age);
-            record.record_crash(EndpointCrash { life, at, ran: end.ran });
+        for crash in update.ends.iter().filter(|crash| crash.age < CRASH_RETENTION) {
+            let (life, at) = (crash.life.clone(), now - crash.age);
+            record.record_crash(EndpointCrash { life, at, ran: crash.ran });
         }
     }
 
@@ -209,14 +209,14 @@
         self.records.is_empty()
     }
 
-    /// Returns the updates for the next report to the collector.
-    pub fn next_told(&mut self, now: ClockTime) -> Vec<SuspectUpdate> {
+    /// Returns the updates for the next report to the collector, which then count as in flight.
+    pub fn next_report(&mut self, now: ClockTime) -> Vec<SuspectUpdate> {
         self.in_flight = self.unreported.iter().copied().take(MAX_PER_REPORT).collect();
         self.updates(self.in_flight.iter(), now)
     }
 
     /// Records that the collector acknowledged the last report.
-    pub fn note_taken(&mut self) {
+    pub fn acknowledge_report(&mut self) {
         for fingerprint in std::mem::take(&mut self.in_flight) {
             self.unreported.remove(&fingerprint);
         }
--- a/tests/all/evidence.rs
+++ b/tests/all/evidence.rs
@@ -73,16 +73,16 @@
     }
 
     /// When the first part of the answer to a request sent at `ms` arrives, and its result.
-    fn answer(&self, at: usize, ms: u64, lot: u64) -> (u64, AnswerSample) {
-        let sound = SOUND_MS.0 + lot % (SOUND_MS.1 - SOUND_MS.0);
+    fn answer(&self, at: usize, ms: u64, random: u64) -> (u64, AnswerSample) {
+        let sound = SOUND_MS.0 + random % (SOUND_MS.1 - SOUND_MS.0);
         let came = |took| (took, AnswerSample::Came { took: TimeSpan(took), expected: EXPECTED });
-        if (lot >> 16) % 100 < self.base_failure_percent {
+        if (random >> 16) % 100 < self.base_failure_percent {
             return (sound, AnswerSample::Failed);
         }
         if !self.is_bad(at, ms) {
             return came(sound);
         }
-        let half = (lot >> 32).is_multiple_of(2);
+        let half = (random >> 32).is_multiple_of(2);
         match self.kind {
             EndpointFault::Slow => came(5 * sound),
             EndpointFault::Failing if half => (5, AnswerSample::Failed),
@@ -98,7 +98,7 @@
         let names: Vec<EndpointIncarnation> = (0..self.endpoints).map(name).collect();
         let services = [names.clone()];
         let mut judge = OutlierDetector::default();
-        let mut said: BTreeSet<usize> = BTreeSet::new();
+        let mut set_aside: BTreeSet<usize> = BTreeSet::new();
         let mut times = VerdictTimes::new();
         let mut in_flight: BTreeMap<u64, Vec<(usize, AnswerSample)>> = BTreeMap::new();
         let mut random = 7_u64;
@@ -108,10 +108,10 @@
         };
         for ms in 0..seconds * 1000 {
             if draw(1000) < self.requests_per_s % 1000 {
-                self.ask(&said, ms, &mut draw, &mut in_flight);
+                self.ask(&set_aside, ms, &mut draw, &mut in_flight);
             }
             for _ in 0..self.requests_per_s / 1000 {
-                self.ask(&said, ms, &mut draw, &mut in_flight);
+                self.ask(&set_aside, ms, &mut draw, &mut in_flight);
             }
             let now = ClockTime(START + ms);
             for (at, sample) in in_flight.remove(&ms).unwrap_or_default() {
@@ -124,8 +124,8 @@
                     let at = names.iter().position(|name| *name == change.endpoint).expect("known");
                     times.entry(at).or_default().push((ms, change.bad_trait));
                     match change.bad_trait {
-                        Some(_) => said.insert(at),
-                        None => said.remove(&at),
+                        Some(_) => set_aside.insert(at),
+                        None => set_aside.remove(&at),
                     };
                 }
             }
@@ -135,14 +135,14 @@
 
     fn ask(
         &self,
-        said: &BTreeSet<usize>,
+        set_aside: &BTreeSet<usize>,
         ms: u64,
         draw: &mut impl FnMut(u64) -> u64,
         in_flight: &mut BTreeMap<u64, Vec<(usize, AnswerSample)>>,
     ) {
         let at = draw(self.endpoints as u64) as usize;
         // One in twenty of ten requests a second.
-        if said.contains(&at) && draw(20) != 0 {
+        if set_aside.contains(&at) && draw(20) != 0 {
             return;
         }
         let process = draw(self.processes as u64);
@@ -152,16 +152,16 @@
     }
 
     /// When nine in ten of the bad endpoints were set aside.
-    fn found(&self, said: &VerdictTimes) -> u64 {
-        let first = |at: &usize| said.get(at).map_or(u64::MAX, |times| times[0].0);
+    fn found(&self, verdicts: &VerdictTimes) -> u64 {
+        let first = |at: &usize| verdicts.get(at).map_or(u64::MAX, |times| times[0].0);
         let mut found: Vec<u64> = self.bad.iter().map(first).collect();
         found.sort_unstable();
         found[(found.len() - 1) * 9 / 10]
     }
 
     /// Number of sound endpoints that were ever set aside.
-    fn false_positives(&self, said: &VerdictTimes) -> usize {
-        said.keys().filter(|at| !self.bad.contains(at)).count()
+    fn false_positives(&self, verdicts: &VerdictTimes) -> usize {
+        verdicts.keys().filter(|at| !self.bad.contains(at)).count()
     }
 }
 
--- a/tests/all/release.rs
+++ b/tests/all/release.rs
@@ -8,9 +8,9 @@
 use oleandertack::kind::{ClockTime, InstanceId, ServiceName, TimeSpan};
 use oleandertack::limit::{AllotmentHolder, PoolGate, PoolLedger, PriorLedger};
 use oleandertack::release::{
-    AnnouncedStage, ExposureBounds, ListedVersion, OrderNews, OrderStatus, PlanInputs, PlanReason,
-    ReleaseOrder, ReleasePlan, ReleaseStage, TRIAL_GRANTS, VersionLane, VersionRouter,
-    exposure_account, exposure_limit,
+    AnnouncedStage, ExposureBounds, ListedVersion, OrderNews, OrderStatus, PlanInputs,
+    ReleaseOrder, ReleasePlan, ReleaseStage, RollbackReason, TRIAL_GRANTS, VersionLane,
+    VersionRouter, exposure_account, exposure_limit,
 };
 use std::collections::BTreeMap;
 
@@ -82,7 +82,7 @@
     last_exposed_at: u64,
     decided_at: Option<u64>,
     completed: bool,
-    rolled_back: Option<PlanReason>,
+    rolled_back: Option<RollbackReason>,
     /// Requests still running at the former version when the order was completed.
     cut: usize,
 }
@@ -239,10 +239,10 @@
                 let route = if long { ROUTES[1] } else { ROUTES[2 * usize::from(draw(4) == 0)] };
                 // Callers estimate the length of an answer at 1 to 1.8 times its actual length.
                 let expected = length * hint / 100;
-                let lot = draw(1_000_000) as f64 / 1e6;
+                let random = draw(1_000_000) as f64 / 1e6;
                 let one = &mut processes[at];
                 let paid =
-                    one.book.paying_account(&service(), (lot, SHARE), (TimeSpan(expected), now));
+                    one.book.paying_account(&service(), (random, SHARE), (TimeSpan(expected), now));
                 let mut is_paid =
                     paid.as_ref().is_some_and(|account| one.gate.spend(account, 1, now));
                 if !is_paid
--- a/tests/all/size.rs
+++ b/tests/all/size.rs
@@ -138,7 +138,7 @@
 
 /// A replica that has been in contact with the store for so long until `now` that no entry can have
 /// expired.
-fn heard(page: &FeedPage, now: ClockTime) -> RosterReplica {
+fn replica_in_contact(page: &FeedPage, now: ClockTime) -> RosterReplica {
     let mut book = RosterReplica::default();
     for ago in [3000, 2000, 1000, 0] {
         let at = now - TimeSpan(ago);
@@ -158,8 +158,8 @@
 #[test]
 fn a_slightly_older_list_is_updated_by_changes() {
     let page = page(LIST_LENGTH, 5000);
-    let mut collector = heard(&page, NOW);
-    let mut other = heard(&page, NOW);
+    let mut collector = replica_in_contact(&page, NOW);
+    let mut other = replica_in_contact(&page, NOW);
     let put = FeedEvent::Put(listed("i-new", 5001));
     let gone = FeedEvent::Gone { name: endpoint(7).as_str().into(), revision: 5002 };
     let later = NOW + TimeSpan(100);
@@ -178,18 +178,19 @@
 /// kept changes was sent only some of the changes.
 #[test]
 fn changes_no_longer_kept_are_not_skipped() {
-    let mut collector = heard(&page(LIST_LENGTH, 5000), NOW);
+    let mut collector = replica_in_contact(&page(LIST_LENGTH, 5000), NOW);
     let mut other = RosterStatus { freshness: None, sum: 1, ..RosterStatus::default() };
 
     let unheard = collector.update_for(&other, None, 9);
-    other = heard(&page(LIST_LENGTH, 4999), NOW).status(NOW);
+    other = replica_in_contact(&page(LIST_LENGTH, 4999), NOW).status(NOW);
     other.sum = 1;
     let older = collector.update_for(&other, None, 9);
     // Changes for ten times the list's length, so that the first ones are dropped.
     for mark in 5001..5001 + 10 * LIST_LENGTH as u64 {
         change(&mut collector, &[FeedEvent::Put(listed("i-new", mark))], mark, NOW);
     }
-    let lost = RosterStatus { sum: 1, ..heard(&page(LIST_LENGTH, 5000), NOW).status(NOW) };
+    let lost =
+        RosterStatus { sum: 1, ..replica_in_contact(&page(LIST_LENGTH, 5000), NOW).status(NOW) };
 
     assert_eq!(unheard, RosterUpdate::InParts);
     assert_eq!(older, RosterUpdate::InParts);
@@ -200,7 +201,7 @@
 /// they wait for an answer.
 #[test]
 fn a_whole_list_is_assembled_from_parts() {
-    let mut sender = heard(&page(LIST_LENGTH, 5000), NOW);
+    let mut sender = replica_in_contact(&page(LIST_LENGTH, 5000), NOW);
     let mut parts = PartsAssembler::default();
     let mut ask = PartRequest::default();
     let mut largest = 0;
@@ -237,8 +238,8 @@
 /// entries missing from the older one.
 #[test]
 fn parts_of_an_older_list_are_rejected() {
-    let newer = heard(&page(LIST_LENGTH, 5000), NOW);
-    let older = heard(&page(LIST_LENGTH - 1, 4000), NOW);
+    let newer = replica_in_contact(&page(LIST_LENGTH, 5000), NOW);
+    let older = replica_in_contact(&page(LIST_LENGTH - 1, 4000), NOW);
     let mut parts = PartsAssembler::default();
     let times = (NOW, NOW);
     let first = PartRequest::default();
@@ -260,8 +261,8 @@
 #[test]
 fn many_changes_travel_in_parts() {
     let page = page(LIST_LENGTH, 5000);
-    let mut sender = heard(&page, NOW);
-    let mut taker = heard(&page, NOW);
+    let mut sender = replica_in_contact(&page, NOW);
+    let mut taker = replica_in_contact(&page, NOW);
     let later = NOW + TimeSpan(100);
     let puts = (0..900).map(|at| FeedEvent::Put(listed(&endpoint(at), 5001 + at as u64)));
     let name = endpoint(LIST_LENGTH - 1).as_str().into();
@@ -307,8 +308,8 @@
 #[test]
 fn a_list_with_a_hole_is_repaired_while_the_store_advances() {
     let page = page(100, 5000);
-    let mut collector = heard(&page, NOW);
-    let mut other = heard(&page, NOW);
+    let mut collector = replica_in_contact(&page, NOW);
+    let mut other = replica_in_contact(&page, NOW);
     let missed = FeedEvent::Put(listed(&endpoint(3), 5001));
     change(&mut collector, &[missed], 5001, NOW);
     // The other process's watch was answered at the same revision but without the change.
--- a/tests/all/suspect.rs
+++ b/tests/all/suspect.rs
@@ -154,7 +154,7 @@
 
     other.merge(&accused.shared(now), now);
     other.settle(now);
-    accused.merge(&other.next_told(now), now);
+    accused.merge(&other.next_report(now), now);
     accused.settle(now);
 
     assert_eq!(quarantined(&other), fingerprints(&[]));
@@ -217,9 +217,9 @@
     let mut watch = CrashMonitor::default();
     let at = |ms| START + TimeSpan(ms);
 
-    let times = |sent, lived, broke| AttemptTimes {
+    let times = |sent, answered, broke| AttemptTimes {
         sent_at: at(sent),
-        last_answer_at: if lived == 0 { ClockTime(0) } else { at(lived) },
+        last_answer_at: if answered == 0 { ClockTime(0) } else { at(answered) },
         at: at(broke),
     };
 
@@ -228,22 +228,23 @@
     let beside = watch.note_broken(fingerprint("g"), &incarnation(0), times(10, 0, 41));
     let later = watch.note_broken(fingerprint("k"), &incarnation(0), times(60, 0, 70));
     let after_answer = watch.note_broken(fingerprint("k"), &incarnation(1), times(60, 50, 70));
-    let under = watch.note_ended(&incarnation(0), at(2200));
+    let affected = watch.note_ended(&incarnation(0), at(2200));
     let late = watch.note_broken(fingerprint("m"), &incarnation(0), times(20, 0, 2300));
     let too_late = watch.note_ended(&incarnation(1), at(9000));
 
     assert_eq!([early, other, beside, after_answer], [CrashAttribution::Pending; 4]);
     assert_eq!((later, late), (CrashAttribution::Unrelated, CrashAttribution::Confirmed));
-    let under: Vec<_> = under.into_iter().map(|(fingerprint, end)| (fingerprint, end.at)).collect();
-    assert_eq!(under, vec![(fingerprint("f"), at(40)), (fingerprint("g"), at(41))]);
+    let affected: Vec<_> =
+        affected.into_iter().map(|(fingerprint, end)| (fingerprint, end.at)).collect();
+    assert_eq!(affected, vec![(fingerprint("f"), at(40)), (fingerprint("g"), at(41))]);
     assert_eq!(too_late, vec![]);
 }
 
 /// Sends the state of `from` to `to`, as a report and its digest do.
 fn exchange(from: &mut SuspectTracker, to: &mut SuspectTracker, now: ClockTime) {
-    to.merge(&from.next_told(now), now);
+    to.merge(&from.next_report(now), now);
     to.settle(now);
-    from.note_taken();
+    from.acknowledge_report();
     if from.shared_hash() != to.shared_hash() {
         from.merge(&to.shared(now), now);
         from.settle(now);
