--- a/crates/call/src/rules.rs
+++ b/crates/call/src/rules.rs
@@ -60,7 +60,7 @@
     pub timeout: TimeSpan,
     /// The latency objective; for a stream, until its first event.
     pub objective: TimeSpan,
-    /// The longest pause between two events of a stream that is on time.
+    /// The latency objective for the pause between two events of a stream.
     pub pause: Option<TimeSpan>,
     /// The priority; 0 goes first.
     pub rank: u8,
--- a/crates/judge/src/verdict.rs
+++ b/crates/judge/src/verdict.rs
@@ -59,7 +59,8 @@
     pub previous: Option<BadTrait>,
 }
 
-/// Returns the endpoints of one service that are to be set aside, and why, worst first.
+/// Returns the endpoints of one service that are to be set aside, so that they get few requests,
+/// and why, worst first.
 pub fn judge_service<K: Copy>(known: &[ServiceEvidence<K>]) -> Vec<(K, BadTrait)> {
     let failing = ServiceBaseline::of(
         known.iter().filter(has_enough_answers).filter_map(|one| one.sum.failure_rate()),
--- a/crates/mesh/src/collector.rs
+++ b/crates/mesh/src/collector.rs
@@ -147,7 +147,7 @@
         self.began_at
     }
 
-    /// Handles a report and returns the answer.
+    /// Handles a report and returns the answer to it, the digest.
     pub fn take(
         &mut self,
         report: NodeReport,
--- a/crates/mesh/src/evidence.rs
+++ b/crates/mesh/src/evidence.rs
@@ -38,7 +38,8 @@
     confirmed_at: ClockTime,
 }
 
-/// Combined observations of all processes, and the endpoints ejected because of them.
+/// Combined observations of all processes, and the endpoints ejected because of them. Ejected
+/// endpoints are those that [`judge_service`] sets aside.
 #[derive(Debug, Default)]
 pub struct OutlierDetector {
     aggregate: EvidenceAggregate<EndpointIncarnation>,
--- a/crates/mesh/src/limits.rs
+++ b/crates/mesh/src/limits.rs
@@ -78,19 +78,20 @@
         claims.into_iter().filter_map(allot).collect()
     }
 
-    /// Answers a process whose allotment is nearly used up; `None` if there is no ledger here.
-    /// `known` is the limit and the number of processes that share it.
+    /// Answers the request of a process whose allotment is nearly used up; `None` if there is no
+    /// ledger here or the claim cannot be answered. `known` is the limit and the number of
+    /// processes that share it.
     pub fn ask(
         &mut self,
-        ask: &LimitRequest,
+        request: &LimitRequest,
         known: (&PoolLimit, u32),
         now: ClockTime,
     ) -> Option<PoolAllotment> {
-        let holder = AllotmentHolder { instance: ask.id.clone(), life: ask.life };
+        let holder = AllotmentHolder { instance: request.id.clone(), life: request.life };
         if has_rate(known.0) {
-            self.ledger.as_mut()?.note_member(&ask.id, ask.bond, (known.0.length(), now));
+            self.ledger.as_mut()?.note_member(&request.id, request.bond, (known.0.length(), now));
         }
-        self.claim(&ask.claim, &holder, known, now)
+        self.claim(&request.claim, &holder, known, now)
     }
 
     fn claim(
--- a/crates/mesh/src/loads.rs
+++ b/crates/mesh/src/loads.rs
@@ -21,7 +21,7 @@
 const MAX_BUSIEST: usize = 32;
 /// How long the common part of all answers is reused.
 const COMMON_LIFETIME: TimeSpan = TimeSpan(100);
-/// How long a report is valid: four reporting periods.
+/// How long a report is valid: at least four reporting periods.
 pub(crate) const REPORT_LIFETIME: TimeSpan = TimeSpan(1200);
 
 /// Load at an endpoint. Encoded as a tuple without field names, since there are many in a message.
--- a/crates/mesh/src/rules.rs
+++ b/crates/mesh/src/rules.rs
@@ -11,7 +11,7 @@
 /// One process's replica of the rules. The version in force never decreases.
 #[derive(Default)]
 pub struct RulesBook {
-    gate: CurrentRules,
+    rules: CurrentRules,
     text: Option<FeedObject>,
     freshness: Option<FreshnessStamp>,
 }
@@ -19,12 +19,12 @@
 impl RulesBook {
     /// The rules in force, if any are known.
     pub fn current(&self) -> Option<&Rc<RuleSet>> {
-        self.gate.current()
+        self.rules.current()
     }
 
     /// The version in force; 0 if none is known.
     pub fn version(&self) -> u64 {
-        self.gate.version()
+        self.rules.version()
     }
 
     /// The text of the rules in force, for peers.
@@ -65,7 +65,7 @@
 
     /// Puts `rules` in force if they are newer; returns whether they were.
     pub fn offer(&mut self, rules: RuleSet, text: &FeedObject) -> bool {
-        let newer = self.gate.offer(rules);
+        let newer = self.rules.offer(rules);
         if newer {
             self.text = Some(text.clone());
         }
--- a/crates/mesh/src/view.rs
+++ b/crates/mesh/src/view.rs
@@ -139,6 +139,7 @@
     /// Adopts the collector that another process follows.
     pub fn follow_collector(&mut self, member: MemberInfo, true_now: ClockTime, now: ClockTime) {
         let term = term_at(true_now);
+        // A term that was entered early is not left again.
         self.chosen = Some((member.id.clone(), term.max(self.term().min(term + 1))));
         self.take(member, true, now);
     }
--- a/crates/release/src/plan.rs
+++ b/crates/release/src/plan.rs
@@ -237,13 +237,13 @@
             // If the request rate rose since the cutover was set, the cutover is postponed; if more
             // requests arrived than expected, more may move before it.
             let remaining_bound = self.remaining_bound(inputs, now);
-            let full = full_time(remaining_bound, inputs.rate_per_s);
-            if full < self.ends_at - full_at {
-                self.enter(ReleaseStage::Moving { full_at: self.ends_at - full });
+            let full_duration = full_traffic_time(remaining_bound, inputs.rate_per_s);
+            if full_duration < self.ends_at - full_at {
+                self.enter(ReleaseStage::Moving { full_at: self.ends_at - full_duration });
             } else {
-                let kept =
+                let reserved =
                     (self.ends_at - full_at).0 as f64 / 1000.0 * inputs.rate_per_s * RATE_MARGIN;
-                self.move_bound += (remaining_bound - kept).max(0.0);
+                self.move_bound += (remaining_bound - reserved).max(0.0);
             }
         }
     }
@@ -251,8 +251,9 @@
     /// Sets the cutover time.
     fn set_cutover(&mut self, inputs: &PlanInputs, now: ClockTime) {
         let remaining_bound = self.remaining_bound(inputs, now);
-        let full = full_time(remaining_bound * CUTOVER_FRACTION, inputs.rate_per_s);
-        let full_at = (self.ends_at - full).max(now + ANNOUNCE_TIME);
+        let full_duration =
+            full_traffic_time(remaining_bound * CUTOVER_FRACTION, inputs.rate_per_s);
+        let full_at = (self.ends_at - full_duration).max(now + ANNOUNCE_TIME);
         self.move_bound = inputs.granted + remaining_bound * (1.0 - CUTOVER_FRACTION);
         self.enter(ReleaseStage::Moving { full_at });
     }
@@ -275,7 +276,7 @@
 
 /// Returns for how long a version that may get `requests` more requests can take all of the
 /// service's requests.
-fn full_time(requests: f64, rate_per_s: f64) -> TimeSpan {
+fn full_traffic_time(requests: f64, rate_per_s: f64) -> TimeSpan {
     let seconds = requests / (rate_per_s * RATE_MARGIN).max(1.0);
     TimeSpan((seconds * 1000.0) as u64).min(MAX_FULL_TIME)
 }
--- a/crates/suspect/src/tracker.rs
+++ b/crates/suspect/src/tracker.rs
@@ -71,7 +71,7 @@
     records: BTreeMap<RequestFingerprint, SuspectRecord>,
     answers: AnswerCache,
     /// Quarantined requests and when the quarantine began.
-    held: BTreeMap<RequestFingerprint, ClockTime>,
+    quarantined: BTreeMap<RequestFingerprint, ClockTime>,
     /// Changed locally since the last report to the collector.
     unreported: BTreeSet<RequestFingerprint>,
     /// Sent in a report that is not acknowledged yet.
@@ -136,10 +136,11 @@
         let mut changes = self.evict_least();
         let culprits = find_culprits(&self.records, now);
         let released = |fingerprint: &&RequestFingerprint| !culprits.contains(fingerprint);
-        changes.extend(self.held.keys().filter(released).copied().map(SuspectChange::Released));
-        self.held.retain(|fingerprint, _| culprits.contains(fingerprint));
+        changes
+            .extend(self.quarantined.keys().filter(released).copied().map(SuspectChange::Released));
+        self.quarantined.retain(|fingerprint, _| culprits.contains(fingerprint));
         for fingerprint in culprits {
-            self.held.entry(fingerprint).or_insert_with(|| {
+            self.quarantined.entry(fingerprint).or_insert_with(|| {
                 changes.push(SuspectChange::Quarantined(fingerprint));
                 now
             });
@@ -182,14 +183,14 @@
     /// A new verdict may be withdrawn as soon as other processes report what they saw. So at first
     /// the caller is asked to retry when the verdict has settled, not when the crashes expire.
     pub fn held_for(&self, fingerprint: &RequestFingerprint, now: ClockTime) -> Option<TimeSpan> {
-        let settled_at = *self.held.get(fingerprint)? + VERDICT_SETTLE_TIME;
+        let settled_at = *self.quarantined.get(fingerprint)? + VERDICT_SETTLE_TIME;
         let expires_at = self.records.get(fingerprint)?.ends().last()?.at + CRASH_RETENTION;
         Some(if now < settled_at { settled_at - now } else { expires_at - now })
     }
 
     /// Returns the quarantined requests.
     pub fn held(&self) -> impl Iterator<Item = (RequestFingerprint, &SuspectRecord)> {
-        self.held
+        self.quarantined
             .keys()
             .filter_map(|fingerprint| Some((*fingerprint, self.records.get(fingerprint)?)))
     }
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -269,11 +269,11 @@
 
 impl CollectorRig {
     /// The collector applies another process's list at `mark`.
-    fn take_list(&mut self, names: &[&str], mark: u64) {
+    fn apply_list(&mut self, names: &[&str], mark: u64) {
         let objects = names.iter().map(|name| listed(name, 5)).collect();
         let update = RosterUpdate::Whole(objects);
-        let told = (&status(mark, 0, 1), TimeSpan(0));
-        self.roster.apply_update(&update, told, None, &roster_context(NOW));
+        let sender = (&status(mark, 0, 1), TimeSpan(0));
+        self.roster.apply_update(&update, sender, None, &roster_context(NOW));
     }
 
     /// Adds an account with a limit to the rules.
@@ -322,10 +322,10 @@
 #[test]
 fn a_process_with_the_collectors_list_gets_only_changes() {
     let mut rig = rig();
-    rig.take_list(&["i-0", "i-1"], 5);
+    rig.apply_list(&["i-0", "i-1"], 5);
     let first = rig.take(report("front-1"), NOW);
     let state = Some(first.roster_version);
-    rig.take_list(&["i-1"], 6);
+    rig.apply_list(&["i-1"], 6);
 
     let later = rig.take(NodeReport { roster_version: state, ..report("front-1") }, NOW);
     let other = Some(RosterVersion { source: 8, number: 1 });
@@ -346,7 +346,7 @@
     // without closing, and the collector counted as up to date although another process had the
     // change.
     let mut rig = rig();
-    rig.take_list(&["i-0"], 5);
+    rig.apply_list(&["i-0"], 5);
 
     let ahead = NodeReport { served: true, roster: status(6, 0, 7), ..report("front-1") };
     let digest = rig.take(ahead, NOW);
@@ -501,7 +501,7 @@
     rig.take(busy, settled);
 
     let state = Some(RosterVersion { source: 9, number: 0 });
-    rig.take_list(&[], 5);
+    rig.apply_list(&[], 5);
     let known = NodeReport {
         roster_version: state,
         members_hash: rig.view.members_hash(),
--- a/tests/all/size.rs
+++ b/tests/all/size.rs
@@ -336,7 +336,7 @@
 /// sent to all processes in each answer.
 #[test]
 fn a_hundred_limited_endpoints_add_little_to_an_exchange_once_known() {
-    let said = |at: u64| EndpointSignals {
+    let signals = |at: u64| EndpointSignals {
         instance: format!("i-{at:08x}").as_str().into(),
         life: 1_790_000_000_000 + at,
         limit: Some(RequestRate::per_second(2.8)),
@@ -347,7 +347,7 @@
         endpoint: EndpointHash::of(&format!("i-{at:08x}").as_str().into(), at),
         per_s: 0.85,
     };
-    let words: Vec<EndpointSignals> = (0..100).map(said).collect();
+    let words: Vec<EndpointSignals> = (0..100).map(signals).collect();
     // Each of 60 processes has shares of five of a hundred endpoints that have three holders each.
     let shares: Vec<RateShare> = (0..5).map(share).collect();
 
@@ -358,7 +358,7 @@
     let mut changed = words.clone();
     changed[7].age = TimeSpan(900);
     assert_eq!(signals_hash(&words), signals_hash(&changed), "an age is no change");
-    changed.push(EndpointSignals { limit: None, ..said(200) });
+    changed.push(EndpointSignals { limit: None, ..signals(200) });
     assert_eq!(signals_hash(&words), signals_hash(&changed), "nor an end that others never knew");
     changed[7].limit = Some(RequestRate::per_second(2.7));
     assert_ne!(signals_hash(&words), signals_hash(&changed));
--- a/tests/all/suspect.rs
+++ b/tests/all/suspect.rs
@@ -30,14 +30,14 @@
 }
 
 /// A tracker in which one endpoint per second crashed while it ran the given requests.
-fn tracker(ends: &[&[&str]]) -> SuspectTracker {
+fn tracker(crashes: &[&[&str]]) -> SuspectTracker {
     let mut tracker = SuspectTracker::default();
-    for (number, under) in ends.iter().enumerate() {
-        under.iter().for_each(|body| {
+    for (number, running) in crashes.iter().enumerate() {
+        running.iter().for_each(|body| {
             tracker.record_crash(fingerprint(body), end(number, number as u64 * 1000))
         });
     }
-    tracker.settle(START + TimeSpan(ends.len() as u64 * 1000));
+    tracker.settle(START + TimeSpan(crashes.len() as u64 * 1000));
     tracker
 }
 
@@ -293,15 +293,15 @@
     trackers: Vec<SuspectTracker>,
     collector: usize,
     endpoints: Vec<FleetEndpoint>,
-    lives: usize,
+    incarnations: usize,
     /// Crashes that the process which ran the request has not detected yet.
     undetected: Vec<(ClockTime, usize, RequestFingerprint, EndpointCrash)>,
     sent: Vec<(RequestFingerprint, ClockTime)>,
-    ended: Vec<(RequestFingerprint, ClockTime)>,
+    crashed: Vec<(RequestFingerprint, ClockTime)>,
     /// Honest requests that some process refused to send.
     refused: BTreeSet<RequestFingerprint>,
     /// Callers that got no answer and will retry.
-    again: Vec<(ClockTime, RequestFingerprint)>,
+    retries: Vec<(ClockTime, RequestFingerprint)>,
     honest_done: usize,
 }
 
@@ -337,12 +337,12 @@
             trackers: (0..FLEET_PROCESSES).map(|_| SuspectTracker::default()).collect(),
             collector: 0,
             endpoints: (0..FLEET_ENDPOINTS).map(endpoint).collect(),
-            lives: FLEET_ENDPOINTS,
+            incarnations: FLEET_ENDPOINTS,
             undetected: Vec::new(),
             sent: Vec::new(),
-            ended: Vec::new(),
+            crashed: Vec::new(),
             refused: BTreeSet::new(),
-            again: Vec::new(),
+            retries: Vec::new(),
             honest_done: 0,
         }
     }
@@ -360,7 +360,7 @@
             match left {
                 // Callers wait for a third of their deadline, five seconds of fifteen.
                 Some(left) if left <= TimeSpan(5000) && !run.fatal => {
-                    self.again.push((self.now + left, run.fingerprint));
+                    self.retries.push((self.now + left, run.fingerprint));
                 }
                 _ if !run.fatal => {
                     self.refused.insert(run.fingerprint);
@@ -385,15 +385,15 @@
         true
     }
 
-    fn end_endpoint(&mut self, at: usize) {
+    fn crash_endpoint(&mut self, at: usize) {
         let endpoint = std::mem::take(&mut self.endpoints[at]);
-        self.lives += 1;
+        self.incarnations += 1;
         let back_at = self.now + TimeSpan(3000);
-        self.endpoints[at] = FleetEndpoint { life: self.lives, back_at, runs: Vec::new() };
+        self.endpoints[at] = FleetEndpoint { life: self.incarnations, back_at, runs: Vec::new() };
         for run in endpoint.runs {
-            self.ended.push((run.fingerprint, self.now));
+            self.crashed.push((run.fingerprint, self.now));
             let ran = self.now - run.began_at;
-            let end = EndpointCrash { life: incarnation(endpoint.life), at: self.now, ran };
+            let crash = EndpointCrash { life: incarnation(endpoint.life), at: self.now, ran };
             // Most crashes are detected by a probe of the port, the others by the endpoint list.
             let delay = if self.draw(10) == 0 { 2200 } else { 2 + self.draw(20) };
             if run.fatal || self.now - run.began_at <= TimeSpan(1000) {
@@ -401,13 +401,13 @@
                     self.now + TimeSpan(delay),
                     run.process,
                     run.fingerprint,
-                    end,
+                    crash,
                 ));
             }
             if !run.fatal && run.attempts_left > 0 {
                 self.send(FleetRun { attempts_left: run.attempts_left - 1, ..run });
             } else if run.retries_left > 0 {
-                self.again.push((self.now + TimeSpan(1000), run.fingerprint));
+                self.retries.push((self.now + TimeSpan(1000), run.fingerprint));
             }
         }
     }
@@ -427,20 +427,20 @@
             }
             if let Some(run) = done.iter().find(|run| run.fatal) {
                 self.endpoints[at].runs.push(*run);
-                self.end_endpoint(at);
+                self.crash_endpoint(at);
             }
         }
         let (seen, undetected): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.undetected).into_iter().partition(|(at, ..)| *at <= now);
         self.undetected = undetected;
-        for (_, process, fingerprint, end) in seen {
-            self.trackers[process].record_crash(fingerprint, end);
+        for (_, process, fingerprint, crash) in seen {
+            self.trackers[process].record_crash(fingerprint, crash);
             self.trackers[process].settle(now);
         }
         self.report(step);
-        let (due, again) =
-            std::mem::take(&mut self.again).into_iter().partition(|(at, _)| *at <= now);
-        self.again = again;
+        let (due, later) =
+            std::mem::take(&mut self.retries).into_iter().partition(|(at, _)| *at <= now);
+        self.retries = later;
         let due: Vec<(ClockTime, RequestFingerprint)> = due;
         due.into_iter().for_each(|(_, fingerprint)| self.send_new(fingerprint, false, 2, 0));
     }
@@ -504,7 +504,7 @@
 
     /// How often `fingerprint` was sent later than three seconds after its third crash.
     fn sent_too_late(&self, fingerprint: &RequestFingerprint) -> usize {
-        let third = self.ended.iter().filter(|(other, _)| other == fingerprint).nth(2);
+        let third = self.crashed.iter().filter(|(other, _)| other == fingerprint).nth(2);
         let Some((_, third)) = third else { return 0 };
         let until = *third + TimeSpan(3000);
         self.sent.iter().filter(|(other, at)| other == fingerprint && *at > until).count()
