--- a/crates/mesh/src/clock.rs
+++ b/crates/mesh/src/clock.rs
@@ -47,8 +47,8 @@
 /// and the next check is late.
 ///
 /// A collector that resumes after seconds would treat its accounts' windows and its reports as
-/// current although another process collects by now. It has to start over. Setting the wall clock
-/// looks the same, and starting over costs little then.
+/// current although another process collects by now. It has to start over. A step of the wall clock
+/// cannot be told from a suspension, but starting over costs little then.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PauseDetector {
     offset: Option<i64>,
--- a/crates/mesh/src/view.rs
+++ b/crates/mesh/src/view.rs
@@ -127,7 +127,7 @@
             .insert(id.clone(), UnresponsiveMember { since: now, until, times: times + 1 });
     }
 
-    /// Members that recently failed to answer.
+    /// Members that recently failed to answer this process.
     pub fn unreached(&self, now: ClockTime) -> Vec<InstanceId> {
         /// Longer than it takes to be redirected to one of them.
         const RECENT: TimeSpan = TimeSpan(2000);
--- a/crates/release/src/comparison.rs
+++ b/crates/release/src/comparison.rs
@@ -242,7 +242,7 @@
         is_clear && self.seen() >= MIN_ANSWERS && self.score() <= MAX_SOUND_SCORE
     }
 
-    /// Returns the number of answers of the version under trial.
+    /// Returns the number of answers of the version under trial, including failed ones.
     pub fn seen(&self) -> f64 {
         self.routes.values().map(|comparison| comparison.trial_total.seen).sum()
     }
--- a/crates/release/src/routing.rs
+++ b/crates/release/src/routing.rs
@@ -130,7 +130,7 @@
     mark: u64,
     orders: BTreeMap<ServiceName, KnownOrder>,
     held: BTreeSet<(ServiceName, CompactString)>,
-    /// Versions that serve.
+    /// Versions that take the requests of a service, apart from one under trial.
     serving: BTreeMap<ServiceName, BTreeSet<CompactString>>,
     unknown_since: BTreeMap<ServiceName, ClockTime>,
 }
--- a/crates/suspect/src/tracker.rs
+++ b/crates/suspect/src/tracker.rs
@@ -188,7 +188,7 @@
         Some(if now < settled_at { settled_at - now } else { expires_at - now })
     }
 
-    /// Returns the quarantined requests.
+    /// Returns the quarantined requests and their records.
     pub fn held(&self) -> impl Iterator<Item = (RequestFingerprint, &SuspectRecord)> {
         self.quarantined
             .keys()
--- a/tests/all/release.rs
+++ b/tests/all/release.rs
@@ -181,7 +181,7 @@
         common || own
     }
 
-    fn is_cut(&self, process: usize, ms: u64) -> bool {
+    fn is_isolated(&self, process: usize, ms: u64) -> bool {
         let time = (5000..8000).contains(&ms);
         self.disturbance == Disturbance::Cut && process.is_multiple_of(2) && time
     }
@@ -248,7 +248,7 @@
                 if !is_paid
                     && paid.is_some()
                     && one.book.is_moving(&service())
-                    && !self.is_cut(at, ms)
+                    && !self.is_isolated(at, ms)
                 {
                     collector.allot(one, self.processes, now);
                     is_paid = one.gate.spend(&exposure_account(&service(), "v2"), 1, now);
@@ -290,7 +290,7 @@
             }
             self.end_requests(&mut running, (&mut processes, &mut result), ms);
             for at in 0..self.processes {
-                if !self.is_cut(at, ms) && (ms + at as u64 * 37).is_multiple_of(REPORT_MS) {
+                if !self.is_isolated(at, ms) && (ms + at as u64 * 37).is_multiple_of(REPORT_MS) {
                     self.report((&mut processes[at], at), &mut collector, &running, now);
                 }
             }
