--- a/crates/call/src/rules.rs
+++ b/crates/call/src/rules.rs
@@ -60,7 +60,7 @@
     pub timeout: TimeSpan,
     /// The latency objective; for a stream, until its first event.
     pub objective: TimeSpan,
-    /// The longest pause between two events of a stream that is on time.
+    /// The latency objective for the pause between two events of a stream.
     pub pause: Option<TimeSpan>,
     /// The priority; 0 goes first.
     pub rank: u8,
@@ -238,17 +238,17 @@
         keys.iter().find(begins).copied()
     }
 
-    /// Returns the client account that owns the key `text`.
+    /// Returns the client account that owns the API key `text`.
     pub fn account_of(&self, text: &str) -> Option<AccountKey> {
         self.by_key.get(text).copied()
     }
 
-    /// Returns the route of a key.
+    /// Returns the route with this route key.
     pub fn route(&self, key: RouteKey) -> &RouteRule {
         &self.routes[key.0 as usize]
     }
 
-    /// Returns the client account of a key.
+    /// Returns the client account with this account key.
     pub fn account(&self, key: AccountKey) -> &AccountRule {
         &self.accounts[key.0 as usize]
     }
--- a/crates/front/src/mesh/report.rs
+++ b/crates/front/src/mesh/report.rs
@@ -135,7 +135,7 @@
 /// Drops what the last report carried from the queues, because the collector received it.
 fn confirm_report(node: &FrontNode) {
     node.evidence.borrow_mut().confirm_report();
-    node.suspects.borrow_mut().note_taken();
+    node.suspects.borrow_mut().acknowledge_report();
     words::confirm_report(node);
 }
 
--- a/crates/suspect/src/tracker.rs
+++ b/crates/suspect/src/tracker.rs
@@ -71,7 +71,7 @@
     records: BTreeMap<RequestFingerprint, SuspectRecord>,
     answers: AnswerCache,
     /// Quarantined requests and when the quarantine began.
-    held: BTreeMap<RequestFingerprint, ClockTime>,
+    quarantined: BTreeMap<RequestFingerprint, ClockTime>,
     /// Changed locally since the last report to the collector.
     unreported: BTreeSet<RequestFingerprint>,
     /// Sent in a report that is not acknowledged yet.
@@ -82,13 +82,13 @@
 
 impl SuspectTracker {
     /// Records that an endpoint crashed while it ran a request.
-    pub fn record_crash(&mut self, fingerprint: RequestFingerprint, end: EndpointCrash) {
+    pub fn record_crash(&mut self, fingerprint: RequestFingerprint, crash: EndpointCrash) {
         let answered_at = self.answers.at(&fingerprint);
         let record = self.records.entry(fingerprint).or_default();
         if let Some(at) = answered_at {
             record.note_answer(at);
         }
-        if record.record_crash(end) {
+        if record.record_crash(crash) {
             self.unreported.insert(fingerprint);
         }
     }
@@ -124,9 +124,9 @@
         {
             self.unreported.insert(fingerprint);
         }
-        for end in update.ends.iter().filter(|end| end.age < CRASH_RETENTION) {
-            let (life, at) = (end.life.clone(), now - end.age);
-            record.record_crash(EndpointCrash { life, at, ran: end.ran });
+        for crash in update.ends.iter().filter(|crash| crash.age < CRASH_RETENTION) {
+            let (life, at) = (crash.life.clone(), now - crash.age);
+            record.record_crash(EndpointCrash { life, at, ran: crash.ran });
         }
     }
 
@@ -136,10 +136,11 @@
         let mut changes = self.evict_least();
         let culprits = find_culprits(&self.records, now);
         let released = |fingerprint: &&RequestFingerprint| !culprits.contains(fingerprint);
-        changes.extend(self.held.keys().filter(released).copied().map(SuspectChange::Released));
-        self.held.retain(|fingerprint, _| culprits.contains(fingerprint));
+        changes
+            .extend(self.quarantined.keys().filter(released).copied().map(SuspectChange::Released));
+        self.quarantined.retain(|fingerprint, _| culprits.contains(fingerprint));
         for fingerprint in culprits {
-            self.held.entry(fingerprint).or_insert_with(|| {
+            self.quarantined.entry(fingerprint).or_insert_with(|| {
                 changes.push(SuspectChange::Quarantined(fingerprint));
                 now
             });
@@ -182,14 +183,14 @@
     /// A new verdict may be withdrawn as soon as other processes report what they saw. So at first
     /// the caller is asked to retry when the verdict has settled, not when the crashes expire.
     pub fn held_for(&self, fingerprint: &RequestFingerprint, now: ClockTime) -> Option<TimeSpan> {
-        let settled_at = *self.held.get(fingerprint)? + VERDICT_SETTLE_TIME;
+        let settled_at = *self.quarantined.get(fingerprint)? + VERDICT_SETTLE_TIME;
         let expires_at = self.records.get(fingerprint)?.ends().last()?.at + CRASH_RETENTION;
         Some(if now < settled_at { settled_at - now } else { expires_at - now })
     }
 
-    /// Returns the quarantined requests.
+    /// Returns the quarantined requests and their records.
     pub fn held(&self) -> impl Iterator<Item = (RequestFingerprint, &SuspectRecord)> {
-        self.held
+        self.quarantined
             .keys()
             .filter_map(|fingerprint| Some((*fingerprint, self.records.get(fingerprint)?)))
     }
@@ -209,14 +210,14 @@
         self.records.is_empty()
     }
 
-    /// Returns the updates for the next report to the collector.
-    pub fn next_told(&mut self, now: ClockTime) -> Vec<SuspectUpdate> {
+    /// Returns the updates for the next report to the collector, which then count as in flight.
+    pub fn next_report(&mut self, now: ClockTime) -> Vec<SuspectUpdate> {
         self.in_flight = self.unreported.iter().copied().take(MAX_PER_REPORT).collect();
         self.updates(self.in_flight.iter(), now)
     }
 
     /// Records that the collector acknowledged the last report.
-    pub fn note_taken(&mut self) {
+    pub fn acknowledge_report(&mut self) {
         for fingerprint in std::mem::take(&mut self.in_flight) {
             self.unreported.remove(&fingerprint);
         }
--- a/tests/all/release.rs
+++ b/tests/all/release.rs
@@ -8,9 +8,9 @@
 use oleandertack::kind::{ClockTime, InstanceId, ServiceName, TimeSpan};
 use oleandertack::limit::{AllotmentHolder, PoolGate, PoolLedger, PriorLedger};
 use oleandertack::release::{
-    AnnouncedStage, ExposureBounds, ListedVersion, OrderNews, OrderStatus, PlanInputs, PlanReason,
-    ReleaseOrder, ReleasePlan, ReleaseStage, TRIAL_GRANTS, VersionLane, VersionRouter,
-    exposure_account, exposure_limit,
+    AnnouncedStage, ExposureBounds, ListedVersion, OrderNews, OrderStatus, PlanInputs,
+    ReleaseOrder, ReleasePlan, ReleaseStage, RollbackReason, TRIAL_GRANTS, VersionLane,
+    VersionRouter, exposure_account, exposure_limit,
 };
 use std::collections::BTreeMap;
 
@@ -82,7 +82,7 @@
     last_exposed_at: u64,
     decided_at: Option<u64>,
     completed: bool,
-    rolled_back: Option<PlanReason>,
+    rolled_back: Option<RollbackReason>,
     /// Requests still running at the former version when the order was completed.
     cut: usize,
 }
@@ -181,7 +181,7 @@
         common || own
     }
 
-    fn is_cut(&self, process: usize, ms: u64) -> bool {
+    fn is_isolated(&self, process: usize, ms: u64) -> bool {
         let time = (5000..8000).contains(&ms);
         self.disturbance == Disturbance::Cut && process.is_multiple_of(2) && time
     }
@@ -239,16 +239,16 @@
                 let route = if long { ROUTES[1] } else { ROUTES[2 * usize::from(draw(4) == 0)] };
                 // Callers estimate the length of an answer at 1 to 1.8 times its actual length.
                 let expected = length * hint / 100;
-                let lot = draw(1_000_000) as f64 / 1e6;
+                let random = draw(1_000_000) as f64 / 1e6;
                 let one = &mut processes[at];
                 let paid =
-                    one.book.paying_account(&service(), (lot, SHARE), (TimeSpan(expected), now));
+                    one.book.paying_account(&service(), (random, SHARE), (TimeSpan(expected), now));
                 let mut is_paid =
                     paid.as_ref().is_some_and(|account| one.gate.spend(account, 1, now));
                 if !is_paid
                     && paid.is_some()
                     && one.book.is_moving(&service())
-                    && !self.is_cut(at, ms)
+                    && !self.is_isolated(at, ms)
                 {
                     collector.allot(one, self.processes, now);
                     is_paid = one.gate.spend(&exposure_account(&service(), "v2"), 1, now);
@@ -290,7 +290,7 @@
             }
             self.end_requests(&mut running, (&mut processes, &mut result), ms);
             for at in 0..self.processes {
-                if !self.is_cut(at, ms) && (ms + at as u64 * 37).is_multiple_of(REPORT_MS) {
+                if !self.is_isolated(at, ms) && (ms + at as u64 * 37).is_multiple_of(REPORT_MS) {
                     self.report((&mut processes[at], at), &mut collector, &running, now);
                 }
             }
