--- a/tests/all/speaking.rs
+++ b/tests/all/speaking.rs
@@ -18,7 +18,7 @@
 const RUN_TIME: Duration = Duration::from_millis(30);
 /// The window over which the operators count arrivals.
 pub const COUNT_WINDOW: Duration = Duration::from_secs(4);
-/// Time after a answer within which its process must apply the signal.
+/// Time after an answer within which its process must apply the signal.
 const APPLY_TIME: Duration = Duration::from_millis(500);
 
 /// A request that reached an endpoint.
